--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -6,7 +6,7 @@
 
 use common::peers::{Connection, Discovery, Listener, client, list, start};
 use common::program::{address, file, target};
-use croftsill::node::target_list::ListReader;
+use inference_router::discovery::endpoint_list::ListReader;
 
 /// Once this is answered, the program has read what was sent to it before.
 fn round_trip(base: &str) {
@@ -32,7 +32,7 @@
         rest = behind;
     }
     watch.send(rest);
-    program.logs("discovery: w1 is Terminating");
+    program.logs("endpoint=w1 state=Terminating");
     let log = program.end();
     assert!(!log.contains("watch lost"), "{log}");
 }
@@ -45,7 +45,7 @@
     let nowhere = target(&base, "r1", "Ready").replace(&format!("\"{base}:"), "\"nowhere:");
     let drains = target(&base, "w2", "Terminating");
     watch.send(&(list(2, false, &[unknown, nowhere, drains]) + "\n"));
-    program.logs("discovery: w2 is Terminating");
+    program.logs("endpoint=w2 state=Terminating");
     let log = program.end();
     assert!(!log.contains("watch lost"), "{log}");
 }
@@ -58,7 +58,7 @@
     let unknown = target(&base, "r1", "Rebooting");
     let known = target(&base, "w1", "Terminating");
     watch.send(&(list(2, false, &[unknown, known]) + "\n"));
-    program.logs("discovery: w1 is Terminating");
+    program.logs("endpoint=w1 state=Terminating");
     let mut asking = client(&base);
     asking.send(&common::peers::request("u1", "climb-query", 300));
     assert!(asking.message().head.starts_with("HTTP/1.1 429"));
@@ -75,7 +75,7 @@
         let lists: Vec<_> =
             text.as_bytes().chunks(piece).flat_map(|bytes| reader.push(bytes).expect("a list")).collect();
         assert_eq!(lists.len(), 1);
-        assert_eq!(lists[0].servers.len(), 3_200);
+        assert_eq!(lists[0].endpoints.len(), 3_200);
         begun.elapsed()
     };
     let (whole, pieces) = (read(text.len()), read(97));
@@ -87,17 +87,17 @@
 fn a_configuration_that_is_half_written_at_the_signal_is_read_once_it_is_whole() {
     let base = address();
     let (mut program, _discovery, _watch) = start(&base, &["w1"], &[]);
-    let path = std::env::temp_dir().join(format!("croftsill-{base}")).join("config.json");
+    let path = std::env::temp_dir().join(format!("inference-router-{base}")).join("config.json");
     let moved = format!("{base}:{}", common::program::port("moved"));
     let text =
         std::fs::read_to_string(&path).expect("the configuration").replace(&format!("{base}:8500"), &moved);
     let mut other = Discovery::moved(&base, "moved");
     file(&base, "config.json", &text[..text.len() / 2]);
     program.signal("HUP");
-    program.logs("reload: ");
+    program.logs("configuration not readable yet");
     file(&base, "config.json", &text);
     other.serves_list(&[target(&base, "w1", "Ready")]);
     let _watch = other.opens_watch();
-    program.logs(&format!("discovery: moved to {moved}"));
+    program.logs(&format!("discovery moved address={moved}"));
     program.end();
 }
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -138,8 +138,8 @@
     let (config, file) = (program::platform(&base), program::chat(&base, &["s1", "s2"], ""));
     let words = ["--chat", file.to_str().expect("a plain path")];
     let mut program = program::Program::start(&base, &words, &[("LB_CONFIG", &config)]);
-    program.logs("chat front listens");
-    program.logs("ready, with");
+    program.logs("listening api=\"chat\"");
+    program.logs("ready endpoint_list=\"discovery\"");
     let start = Instant::now();
     let clients: Vec<_> = (0..REQUESTS)
         .map(|number| {
@@ -170,7 +170,7 @@
     assert!(!log.contains("\"reuses\":0,"), "{log}");
     let whole = ended.iter().filter(|(_, e)| *e == Ended::Whole).count();
     assert!(whole as u32 > REQUESTS / 2, "only {whole} were served:\n{log}");
-    for part in ["counters of platform: ", "counters of chat: "] {
+    for part in ["final counters api=\"platform\" counters=", "final counters api=\"chat\" counters="] {
         let line = log.lines().find_map(|l| l.split_once(part)).expect("counters at the end").1;
         let counts: HashMap<String, u32> = serde_json::from_str(line).expect("counters as JSON");
         let finals: u32 =
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,19 +2,19 @@
 mod common;
 
 use common::rig::*;
-use croftsill::api::*;
+use inference_router::scheduler::*;
 
-fn with_effect(effect: Effect) -> Settings {
+fn with_effect(effect: Idempotency) -> Settings {
     let mut set = settings();
-    set.classes[0].effect = effect;
+    set.classes[0].idempotency = effect;
     set
 }
 
 /// A request whose first decode server attempt timed out, and what the router did then.
-fn after_time_out(effect: Effect, members: &[Member]) -> (Rig, Vec<Action>) {
+fn after_time_out(effect: Idempotency, members: &[EndpointUpdate]) -> (Rig, Vec<Action>) {
     let mut rig = Rig::new(with_effect(effect), members);
     assert_eq!(sent_to(&rig.request(1)), Some(PREFILL));
-    let decode = sent_to(&rig.end(1, PREFILL, Outcome::Read)).expect("sent on");
+    let decode = sent_to(&rig.end(1, PREFILL, Outcome::Prefilled)).expect("sent on");
     let out = rig.end(1, decode, Outcome::TimedOut);
     (rig, out)
 }
@@ -37,9 +37,9 @@
 fn rule_1_giving_up_is_answered_at_once_with_a_come_back_time() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1)]);
     let mut late = ask(1);
-    late.time_left = 11 * MS;
-    let out = rig.step(0, &[Event::Request(late)]);
-    let refused = Action::Refuse { request: RequestId(1), retry_after: Some(S) };
+    late.client_timeout = 11 * MS;
+    let out = rig.step(0, &[Event::RequestReceived(late)]);
+    let refused = Action::Reject { request: RequestId(1), retry_after: Some(S) };
     assert!(out.contains(&refused), "{out:?}");
 }
 
@@ -47,15 +47,16 @@
 fn rule_1_nothing_is_sent_for_a_request_whose_client_left() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1)]);
     rig.request(1);
-    rig.step(0, &[Event::Left(RequestId(1))]);
-    let out = rig.end(1, PREFILL, Outcome::Read);
+    rig.step(0, &[Event::ClientDisconnected(RequestId(1))]);
+    let out = rig.end(1, PREFILL, Outcome::Prefilled);
     assert_eq!((sent_to(&out), finals(&out)), (None, 0));
-    assert!(out.contains(&Action::Release(RequestId(1))), "and its state is let go: {out:?}");
+    assert!(out.contains(&Action::ReleaseReservation(RequestId(1))), "and its state is let go: {out:?}");
 }
 
 #[test]
 fn rule_2_an_unsafe_request_that_may_have_run_fails_without_another_try() {
-    let (_, out) = after_time_out(Effect::Unsafe, &[member(PREFILL, 0), member(DECODE, 1), member(11, 1)]);
+    let (_, out) =
+        after_time_out(Idempotency::NonIdempotent, &[member(PREFILL, 0), member(DECODE, 1), member(11, 1)]);
     assert_eq!(sent_to(&out), None);
     assert!(out.contains(&Action::Fail(RequestId(1))), "{out:?}");
 }
@@ -63,10 +64,10 @@
 #[test]
 fn rule_2_an_unsafe_request_proved_not_to_have_run_is_tried_again() {
     let members = [member(PREFILL, 0), member(DECODE, 1), member(11, 1)];
-    let mut rig = Rig::new(with_effect(Effect::Unsafe), &members);
+    let mut rig = Rig::new(with_effect(Idempotency::NonIdempotent), &members);
     rig.request(1);
-    let decode = sent_to(&rig.end(1, PREFILL, Outcome::Read)).unwrap();
-    let next = sent_to(&rig.end(1, decode, Outcome::Unreachable)).unwrap();
+    let decode = sent_to(&rig.end(1, PREFILL, Outcome::Prefilled)).unwrap();
+    let next = sent_to(&rig.end(1, decode, Outcome::ConnectFailed)).unwrap();
     assert_ne!(next, decode);
 }
 
@@ -74,28 +75,28 @@
 fn a_spoilt_answer_is_read_again_at_once_and_its_host_stays_in_use() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1)]);
     rig.request(1);
-    assert_eq!(sent_to(&rig.end(1, PREFILL, Outcome::Read)), Some(DECODE));
+    assert_eq!(sent_to(&rig.end(1, PREFILL, Outcome::Prefilled)), Some(DECODE));
     assert_eq!(sent_to(&rig.end(1, DECODE, Outcome::Malformed)), Some(PREFILL));
-    assert_eq!(sent_to(&rig.end(1, PREFILL, Outcome::Read)), Some(DECODE));
+    assert_eq!(sent_to(&rig.end(1, PREFILL, Outcome::Prefilled)), Some(DECODE));
 }
 
 #[test]
 fn rule_2_a_failed_read_has_no_effect() {
     let members = [member(PREFILL, 0), member(2, 0), member(DECODE, 1)];
-    let mut rig = Rig::new(with_effect(Effect::Unsafe), &members);
+    let mut rig = Rig::new(with_effect(Idempotency::NonIdempotent), &members);
     let first = sent_to(&rig.request(1)).unwrap();
-    let next = sent_to(&rig.end(1, first, Outcome::Broken)).unwrap();
+    let next = sent_to(&rig.end(1, first, Outcome::ConnectionLost)).unwrap();
     assert_ne!(next, first);
 }
 
 #[test]
 fn rule_2_a_keyed_request_stays_in_its_group_and_window() {
     let other_cell = [in_cell(PREFILL, 0, 1), in_cell(DECODE, 1, 1), in_cell(11, 1, 2)];
-    let keyed = Effect::Keyed(Group::Cell, S);
+    let keyed = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: S };
     let (mut rig, mut out) = after_time_out(keyed, &other_cell);
     for _ in 0..200 {
         assert!(sent_to(&out).is_none_or(|host| host != 11), "left its group");
-        assert!(!out.iter().any(|a| matches!(a, Action::Refuse { .. })), "a refusal promises too much");
+        assert!(!out.iter().any(|a| matches!(a, Action::Reject { .. })), "a refusal promises too much");
         let sent_late = rig.now >= 101 * S + 40 * MS;
         assert!(!sent_late || sent_to(&out).is_none_or(|host| host == PREFILL), "outside its window");
         out = rig.tick(10 * MS);
@@ -104,16 +105,19 @@
 
 #[test]
 fn rule_2_a_keyed_request_that_may_have_run_is_read_again_in_its_group_alone() {
-    let zone = |host, kind, zone| Member { zone: ZoneId(zone), ..in_cell(host, kind, zone as i64) };
+    let zone = |host, kind, zone| EndpointUpdate { zone: ZoneId(zone), ..in_cell(host, kind, zone as i64) };
     let members = [zone(PREFILL, 0, 0), zone(2, 0, 1), zone(3, 0, 1), zone(DECODE, 1, 0), zone(11, 1, 0)];
     let in_zone = [PREFILL, DECODE, 11];
     let mut seen_again = 0;
     for id in 1..40 {
-        let mut rig = Rig::new(with_effect(Effect::Keyed(Group::Zone, 3 * S)), &members);
+        let mut rig = Rig::new(
+            with_effect(Idempotency::Keyed { scope: DeduplicationScope::Zone, window: 3 * S }),
+            &members,
+        );
         // Each has preferred servers of its own.
-        let alone = NewRequest { prefix: None, prefix_tokens: 0.0, ..ask(id) };
-        let prefill = sent_to(&rig.step(0, &[Event::Request(alone)])).expect("a first read");
-        let decode = sent_to(&rig.end(id, prefill, Outcome::Read)).expect("a first write");
+        let alone = RequestSpec { prefix: None, prefix_tokens: 0.0, ..ask(id) };
+        let prefill = sent_to(&rig.step(0, &[Event::RequestReceived(alone)])).expect("a first read");
+        let decode = sent_to(&rig.end(id, prefill, Outcome::Prefilled)).expect("a first write");
         // It may have run there, and its state is gone: the prompt has to be read again.
         let mut out = rig.end(id, decode, Outcome::Malformed);
         for _ in 0..20 {
@@ -131,7 +135,8 @@
 #[test]
 fn a_held_request_that_may_not_be_sent_again_is_answered_at_once() {
     let cells = [in_cell(PREFILL, 0, 1), in_cell(DECODE, 1, 1), in_cell(11, 1, 2)];
-    let (mut rig, mut out) = after_time_out(Effect::Keyed(Group::Cell, S), &cells);
+    let (mut rig, mut out) =
+        after_time_out(Idempotency::Keyed { scope: DeduplicationScope::Cell, window: S }, &cells);
     // Its group has only the server that just failed, and its window ends long before its deadline.
     let mut answered_at = None;
     for _ in 0..200 {
@@ -140,7 +145,7 @@
             break;
         }
         if let Some(host) = sent_to(&out) {
-            out = rig.end(1, host, if host == PREFILL { Outcome::Read } else { Outcome::Full });
+            out = rig.end(1, host, if host == PREFILL { Outcome::Prefilled } else { Outcome::Rejected });
         } else {
             out = rig.tick(10 * MS);
         }
@@ -154,7 +159,8 @@
     let members = [member(PREFILL, 0), member(DECODE, 1), member(11, 1)];
     // Shorter than the time of what is held, which limits each send of a state.
     let window = 300 * MS;
-    let mut rig = Rig::new(with_effect(Effect::Keyed(Group::All, window)), &members);
+    let mut rig =
+        Rig::new(with_effect(Idempotency::Keyed { scope: DeduplicationScope::All, window }), &members);
     let start_within = |out: &[Action]| {
         out.iter().find_map(|a| match a {
             Action::Send { start_within, .. } => Some(*start_within),
@@ -162,7 +168,7 @@
         })
     };
     assert_eq!(start_within(&rig.request(1)), Some(None), "a read has no effect");
-    let first = rig.end(1, PREFILL, Outcome::Read);
+    let first = rig.end(1, PREFILL, Outcome::Prefilled);
     let sent_at = rig.now;
     assert_eq!(
         start_within(&first),
@@ -189,28 +195,28 @@
 fn rule_3_a_draining_host_gets_nothing_new() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1), member(11, 1)]);
     rig.request(1);
-    let drains = |host| Member { phase: Phase::Draining, ..member(host, 1) };
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![drains(DECODE)] }]);
-    assert_eq!(sent_to(&rig.end(1, PREFILL, Outcome::Read)), Some(11));
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![drains(11)] }]);
+    let drains = |host| EndpointUpdate { lifecycle: Lifecycle::Draining, ..member(host, 1) };
+    rig.step(0, &[Event::EndpointsChanged { snapshot: false, updates: vec![drains(DECODE)] }]);
+    assert_eq!(sent_to(&rig.end(1, PREFILL, Outcome::Prefilled)), Some(11));
+    rig.step(0, &[Event::EndpointsChanged { snapshot: false, updates: vec![drains(11)] }]);
     assert_eq!(sent_to(&rig.request(2)), None);
 }
 
 #[test]
 fn rule_3_a_host_missing_from_a_whole_list_is_gone() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1)]);
-    rig.step(0, &[Event::Hosts { whole: true, members: vec![member(PREFILL, 0)] }]);
+    rig.step(0, &[Event::EndpointsChanged { snapshot: true, updates: vec![member(PREFILL, 0)] }]);
     assert_eq!(sent_to(&rig.request(1)), None);
 }
 
 #[test]
 fn rule_4_a_starting_host_is_sent_little_in_any_window() {
-    let cold = |host, kind| Member { started: Some(100 * S), ..member(host, kind) };
+    let cold = |host, kind| EndpointUpdate { started_at: Some(100 * S), ..member(host, kind) };
     let mut rig = Rig::new(settings(), &[cold(PREFILL, 0), member(DECODE, 1), member(11, 1)]);
     let sends = (0..100).filter(|&id| {
         rig.step(10 * MS, &[]);
         let out = rig.request(id);
-        out.iter().any(|a| matches!(a, Action::Send { host: HostId(PREFILL), .. }))
+        out.iter().any(|a| matches!(a, Action::Send { endpoint: EndpointId(PREFILL), .. }))
     });
     assert!(sends.count() <= 20, "a hundred asked within a second");
 }
@@ -219,11 +225,11 @@
 fn rule_5_a_state_that_nobody_takes_is_released_in_time() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1)]);
     rig.request(1);
-    let gone = Member { phase: Phase::Gone, ..member(DECODE, 1) };
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![gone] }]);
-    let mut out = rig.end(1, PREFILL, Outcome::Read);
+    let gone = EndpointUpdate { lifecycle: Lifecycle::Removed, ..member(DECODE, 1) };
+    rig.step(0, &[Event::EndpointsChanged { snapshot: false, updates: vec![gone] }]);
+    let mut out = rig.end(1, PREFILL, Outcome::Prefilled);
     let read_at = rig.now;
-    while !out.contains(&Action::Release(RequestId(1))) {
+    while !out.contains(&Action::ReleaseReservation(RequestId(1))) {
         out = rig.tick(5 * MS);
         assert!(rig.now < read_at + 500 * MS, "still held");
     }
@@ -233,10 +239,10 @@
 fn rule_5_a_state_whose_writer_turned_it_away_is_sent_on_or_released_in_time() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1)]);
     rig.request(1);
-    rig.end(1, PREFILL, Outcome::Read);
-    let mut out = rig.end(1, DECODE, Outcome::Full);
+    rig.end(1, PREFILL, Outcome::Prefilled);
+    let mut out = rig.end(1, DECODE, Outcome::Rejected);
     let since = rig.now;
-    while sent_to(&out).is_none() && !out.contains(&Action::Release(RequestId(1))) {
+    while sent_to(&out).is_none() && !out.contains(&Action::ReleaseReservation(RequestId(1))) {
         out = rig.tick(5 * MS);
         assert!(rig.now < since + 500 * MS, "still held");
     }
@@ -246,9 +252,9 @@
 fn rule_5_a_state_whose_attempt_broke_off_under_way_is_sent_on_again() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1), member(11, 1)]);
     rig.request(1);
-    let first = sent_to(&rig.end(1, PREFILL, Outcome::Read)).expect("sent on");
-    let mut broke = ended(1, first, Outcome::Broken, false);
-    if let Event::Ended { took, .. } = &mut broke {
+    let first = sent_to(&rig.end(1, PREFILL, Outcome::Prefilled)).expect("sent on");
+    let mut broke = ended(1, first, Outcome::ConnectionLost, false);
+    if let Event::AttemptFinished { elapsed: took, .. } = &mut broke {
         *took = 450 * MS;
     }
     let second = sent_to(&rig.step(450 * MS, &[broke])).expect("sent on again at once");
@@ -258,28 +264,28 @@
 #[test]
 fn rule_5_all_is_let_go_of_where_a_state_is_gone_before_the_prompt_waits_to_be_read_anew() {
     let mut set = settings();
-    set.limits.max_attempts = 8;
+    set.capabilities.max_attempts = 8;
     let mut rig = Rig::new(set, &[member(PREFILL, 0), member(DECODE, 1), member(11, 1)]);
     rig.request(1);
-    let first = sent_to(&rig.end(1, PREFILL, Outcome::Read)).expect("sent on");
+    let first = sent_to(&rig.end(1, PREFILL, Outcome::Prefilled)).expect("sent on");
     let second = sent_to(&rig.end(1, first, Outcome::TimedOut)).expect("sent on again");
     // The first one may have fetched it and said nothing.
-    let out = rig.end(1, second, Outcome::NoState);
-    assert!(out.contains(&Action::Release(RequestId(1))), "{out:?}");
+    let out = rig.end(1, second, Outcome::StateMissing);
+    assert!(out.contains(&Action::ReleaseReservation(RequestId(1))), "{out:?}");
 }
 
 #[test]
 fn rule_5_a_state_waits_on_while_connections_to_writers_do_not_come_up() {
     let mut set = settings();
-    set.limits.max_attempts = 8;
+    set.capabilities.max_attempts = 8;
     let members: Vec<_> = [member(PREFILL, 0)].into_iter().chain((10..18).map(|w| member(w, 1))).collect();
     let mut rig = Rig::new(set, &members);
     rig.request(1);
-    let mut out = rig.end(1, PREFILL, Outcome::Read);
+    let mut out = rig.end(1, PREFILL, Outcome::Prefilled);
     let read_at = rig.now;
-    while !out.contains(&Action::Release(RequestId(1))) {
+    while !out.contains(&Action::ReleaseReservation(RequestId(1))) {
         out = match sent_to(&out) {
-            Some(decode) => rig.step(250 * MS, &[ended(1, decode, Outcome::Unreachable, false)]),
+            Some(decode) => rig.step(250 * MS, &[ended(1, decode, Outcome::ConnectFailed, false)]),
             None => rig.tick(5 * MS),
         };
         assert!(rig.now < read_at + 800 * MS, "still held");
@@ -289,21 +295,25 @@
 #[test]
 fn rule_1_a_request_of_no_known_class_is_refused_at_once() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1)]);
-    let out = rig.step(0, &[Event::Request(NewRequest { class: ClassId(9), ..ask(1) })]);
-    assert_eq!(out, [Action::Refuse { request: RequestId(1), retry_after: None }]);
+    let out = rig.step(0, &[Event::RequestReceived(RequestSpec { class: ClassId(9), ..ask(1) })]);
+    assert_eq!(out, [Action::Reject { request: RequestId(1), retry_after: None }]);
 }
 
 #[test]
 fn extreme_times_and_sizes_do_not_panic() {
-    let started = Member { started: Some(Micros::MAX), ..member(DECODE, 1) };
+    let started = EndpointUpdate { started_at: Some(Micros::MAX), ..member(DECODE, 1) };
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), started]);
     for (id, time_left) in [(1, Micros::MAX), (2, -S), (3, 0)] {
-        let odd =
-            NewRequest { time_left, prompt_tokens: f64::MAX, stream_hint: Some(Micros::MAX), ..ask(id) };
-        rig.step(0, &[Event::Request(odd)]);
+        let odd = RequestSpec {
+            client_timeout: time_left,
+            prompt_tokens: f64::MAX,
+            stream_duration_hint: Some(Micros::MAX),
+            ..ask(id)
+        };
+        rig.step(0, &[Event::RequestReceived(odd)]);
     }
     for id in 1..4 {
-        rig.end(id, PREFILL, Outcome::Read);
+        rig.end(id, PREFILL, Outcome::Prefilled);
         rig.tick(5 * MS);
     }
 }
@@ -311,36 +321,37 @@
 #[test]
 fn rule_1_where_one_attempt_can_not_serve_a_request_is_refused_at_once() {
     let mut set = settings();
-    set.limits.max_attempts = 1;
+    set.capabilities.max_attempts = 1;
     set.kinds.truncate(2);
     let mut rig = Rig::new(set, &[member(PREFILL, 0), member(DECODE, 1)]);
-    assert_eq!(rig.request(1), [Action::Refuse { request: RequestId(1), retry_after: None }]);
+    assert_eq!(rig.request(1), [Action::Reject { request: RequestId(1), retry_after: None }]);
 }
 
 #[test]
 fn rule_4_a_hundred_routers_together_spare_a_cold_host_and_yet_use_it() {
     // Each has one request a second; the list tells all of them of a start at the same moment.
     let members: Vec<_> = (1..9).map(|h| member(h, 0)).chain([member(20, 1)]).collect();
-    let cold = Member { started: Some(130 * S), ..member(1, 0) };
+    let cold = EndpointUpdate { started_at: Some(130 * S), ..member(1, 0) };
     let mut sends = Vec::new();
     for router in 0..100u64 {
-        let mut rig = Rig { router: croftsill::Router::new(settings(), router), now: 100 * S };
-        rig.step(0, &[Event::Hosts { whole: true, members: members.clone() }]);
+        let mut rig =
+            Rig { router: inference_router::scheduler::Scheduler::new(settings(), router), now: 100 * S };
+        rig.step(0, &[Event::EndpointsChanged { snapshot: true, updates: members.clone() }]);
         for n in 0..42 {
             if n == 30 {
-                rig.step(0, &[Event::Hosts { whole: false, members: vec![cold.clone()] }]);
+                rig.step(0, &[Event::EndpointsChanged { snapshot: false, updates: vec![cold.clone()] }]);
             }
             let (id, after) = (router * 1000 + n, 10 * MS * router as Micros);
-            let asked = NewRequest { prefix: Some(TextKey(id)), ..ask(id) };
+            let asked = RequestSpec { prefix: Some(CacheKey(id)), ..ask(id) };
             rig.step(after, &[]);
-            let out = rig.step(0, &[Event::Request(asked)]);
+            let out = rig.step(0, &[Event::RequestReceived(asked)]);
             if let Some(prefill) = sent_to(&out) {
                 if prefill == 1 && n >= 30 {
                     sends.push(rig.now);
                 }
-                let took = rig.end(id, prefill, Outcome::Read);
+                let took = rig.end(id, prefill, Outcome::Prefilled);
                 if let Some(decode) = sent_to(&took) {
-                    rig.step(0, &[began(id, decode), ended(id, decode, Outcome::Served, true)]);
+                    rig.step(0, &[began(id, decode), ended(id, decode, Outcome::Completed, true)]);
                 }
             }
             rig.now = (100 + n as Micros + 1) * S;
@@ -362,24 +373,27 @@
     let play = |rig: &mut Rig, ids: std::ops::Range<u64>| {
         let (from, mut sends) = (rig.now, Vec::new());
         for id in ids {
-            let mut out = rig.step(50 * MS, &[Event::Request(NewRequest { prefix: None, ..ask(id) })]);
-            while let Some((at, Action::Send { request, host, .. })) =
-                out.iter().enumerate().find(|(_, a)| matches!(a, Action::Send { host: HostId(1..5), .. }))
+            let mut out =
+                rig.step(50 * MS, &[Event::RequestReceived(RequestSpec { prefix: None, ..ask(id) })]);
+            while let Some((at, Action::Send { request, endpoint: host, .. })) = out
+                .iter()
+                .enumerate()
+                .find(|(_, a)| matches!(a, Action::Send { endpoint: EndpointId(1..5), .. }))
             {
                 let (request, host) = (request.0, host.0);
                 sends.push((rig.now - from, host));
                 out.remove(at);
-                let read = rig.step(0, &[ended(request, host, Outcome::Read, false)]);
-                rig.step(0, &[began(request, 20), ended(request, 20, Outcome::Served, true)]);
+                let read = rig.step(0, &[ended(request, host, Outcome::Prefilled, false)]);
+                rig.step(0, &[began(request, 20), ended(request, 20, Outcome::Completed, true)]);
                 out.extend(read);
             }
         }
         sends
     };
     assert!(play(&mut rig, 0..600).len() > 500, "warm prefill take all");
-    let cold = |h| Member { started: Some(rig.now), ..member(h, 0) };
+    let cold = |h| EndpointUpdate { started_at: Some(rig.now), ..member(h, 0) };
     let started: Vec<_> = (1..5).map(cold).collect();
-    rig.step(0, &[Event::Hosts { whole: false, members: started }]);
+    rig.step(0, &[Event::EndpointsChanged { snapshot: false, updates: started }]);
     let sends = play(&mut rig, 600..790);
     // Each can do 5 a second at least, as that came to it when it was warm; it starts at 0.3 of that and is warm
     // after 10 s; it falls when it gets over 3 times what it can do. By what is known half of that is in use.
@@ -405,9 +419,9 @@
 fn rule_5_a_state_is_sent_on_only_if_that_can_begin_within_its_time() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1), member(11, 1)]);
     rig.request(1);
-    let first = sent_to(&rig.end(1, PREFILL, Outcome::Read)).expect("sent on");
+    let first = sent_to(&rig.end(1, PREFILL, Outcome::Prefilled)).expect("sent on");
     let read_at = rig.now;
-    let out = rig.step(250 * MS, &[ended(1, first, Outcome::Unreachable, false)]);
+    let out = rig.step(250 * MS, &[ended(1, first, Outcome::ConnectFailed, false)]);
     let within = out.iter().find_map(|action| match action {
         Action::Send { start_within, .. } => Some(*start_within),
         _ => None,
@@ -420,28 +434,36 @@
 /// Starts a fleet of routers at once, with one request a second each, that hear in their first list of a decode server
 /// that has just started, and by probes that it is the one with most room; gives when it was sent something.
 fn sends_to_a_cold_server_of_a_fleet_that_starts(routers: u64, first: impl Fn(u64) -> Micros) -> Vec<Micros> {
-    let cold = Member { started: Some(100 * S), ..member(10, 1) };
+    let cold = EndpointUpdate { started_at: Some(100 * S), ..member(10, 1) };
     let members: Vec<_> =
         [member(PREFILL, 0), cold].into_iter().chain((11..18).map(|h| member(h, 1))).collect();
     let told = |host: u32| {
-        let load = Load { memory: Some(if host == 10 { 0.0 } else { 0.6 }), ..Load::default() };
-        Event::Probed { host: HostId(host), outcome: Outcome::Served, load: Some(load) }
+        let load = LoadReport {
+            memory_utilization: Some(if host == 10 { 0.0 } else { 0.6 }),
+            ..LoadReport::default()
+        };
+        Event::HealthChecked {
+            endpoint: EndpointId(host),
+            outcome: Outcome::Completed,
+            load_report: Some(load),
+        }
     };
     let mut sends = Vec::new();
     for router in 0..routers {
-        let mut rig = Rig { router: croftsill::Router::new(settings(), router), now: 100 * S };
-        rig.step(0, &[Event::Hosts { whole: true, members: members.clone() }]);
+        let mut rig =
+            Rig { router: inference_router::scheduler::Scheduler::new(settings(), router), now: 100 * S };
+        rig.step(0, &[Event::EndpointsChanged { snapshot: true, updates: members.clone() }]);
         for n in 0..10 {
             let id = router * 1000 + n;
             rig.now = 100 * S + first(router) + n as Micros * S;
             rig.step(0, &(10..18).map(told).collect::<Vec<_>>());
-            rig.step(0, &[Event::Request(NewRequest { prefix: Some(TextKey(id)), ..ask(id) })]);
-            let out = rig.end(id, PREFILL, Outcome::Read);
+            rig.step(0, &[Event::RequestReceived(RequestSpec { prefix: Some(CacheKey(id)), ..ask(id) })]);
+            let out = rig.end(id, PREFILL, Outcome::Prefilled);
             let Some(decode) = sent_to(&out) else { continue };
             if decode == 10 {
                 sends.push(rig.now);
             }
-            rig.step(0, &[began(id, decode), ended(id, decode, Outcome::Served, true)]);
+            rig.step(0, &[began(id, decode), ended(id, decode, Outcome::Completed, true)]);
         }
     }
     sends
@@ -467,21 +489,21 @@
 
 /// A request whose first decode server may have run it and has left the list since, and whose second one could not be
 /// reached: what the router does then.
-fn after_the_first_server_left(group: Group) -> Vec<Action> {
+fn after_the_first_server_left(group: DeduplicationScope) -> Vec<Action> {
     let members = [member(PREFILL, 0), member(DECODE, 1), member(11, 1), member(12, 1)];
-    let mut rig = Rig::new(with_effect(Effect::Keyed(group, 5 * S)), &members);
+    let mut rig = Rig::new(with_effect(Idempotency::Keyed { scope: group, window: 5 * S }), &members);
     rig.request(1);
-    let first = sent_to(&rig.end(1, PREFILL, Outcome::Read)).expect("sent on");
-    let second = sent_to(&rig.end(1, first, Outcome::Broken)).expect("a repeat in the group");
-    let gone = members.iter().find(|m| m.host.0 == first).expect("a member");
-    let gone = Member { phase: Phase::Gone, ..gone.clone() };
-    rig.step(0, &[Event::Hosts { whole: false, members: vec![gone] }]);
-    rig.end(1, second, Outcome::Unreachable)
+    let first = sent_to(&rig.end(1, PREFILL, Outcome::Prefilled)).expect("sent on");
+    let second = sent_to(&rig.end(1, first, Outcome::ConnectionLost)).expect("a repeat in the group");
+    let gone = members.iter().find(|m| m.endpoint.0 == first).expect("a member");
+    let gone = EndpointUpdate { lifecycle: Lifecycle::Removed, ..gone.clone() };
+    rig.step(0, &[Event::EndpointsChanged { snapshot: false, updates: vec![gone] }]);
+    rig.end(1, second, Outcome::ConnectFailed)
 }
 
 #[test]
 fn rule_2_a_keyed_request_is_repeated_in_its_group_though_its_first_server_left_the_list() {
-    for group in [Group::All, Group::Zone, Group::Cell] {
+    for group in [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell] {
         let out = after_the_first_server_left(group);
         assert!(sent_to(&out).is_some(), "{group:?}: {out:?}");
     }
@@ -491,12 +513,29 @@
 fn a_server_that_took_long_to_say_that_it_is_full_is_tried_again_within_seconds() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1)]);
     rig.request(1);
-    let Event::Ended { request, attempt, host, outcome, last, kept, load, .. } =
-        ended(1, PREFILL, Outcome::Full, false)
+    let Event::AttemptFinished {
+        request,
+        attempt,
+        endpoint: host,
+        outcome,
+        is_final: last,
+        cached_tokens: kept,
+        load_report: load,
+        ..
+    } = ended(1, PREFILL, Outcome::Rejected, false)
     else {
         panic!("an end of an attempt")
     };
-    let slow = Event::Ended { request, attempt, host, outcome, last, kept, took: 2 * S, load };
+    let slow = Event::AttemptFinished {
+        request,
+        attempt,
+        endpoint: host,
+        outcome,
+        is_final: last,
+        cached_tokens: kept,
+        elapsed: 2 * S,
+        load_report: load,
+    };
     rig.step(2 * S, &[slow]);
     rig.step(4 * S, &[]);
     assert_eq!(sent_to(&rig.request(2)), Some(PREFILL));
@@ -506,10 +545,10 @@
 fn rule_5_a_reset_that_follows_a_send_at_once_does_not_lengthen_the_time_of_what_is_held() {
     let mut rig = Rig::new(settings(), &[member(PREFILL, 0), member(DECODE, 1)]);
     rig.request(1);
-    let mut out = rig.end(1, PREFILL, Outcome::Read);
+    let mut out = rig.end(1, PREFILL, Outcome::Prefilled);
     let read_at = rig.now;
-    while !out.contains(&Action::Release(RequestId(1))) {
-        let reset = sent_to(&out).map(|host| ended(1, host, Outcome::Broken, false));
+    while !out.contains(&Action::ReleaseReservation(RequestId(1))) {
+        let reset = sent_to(&out).map(|host| ended(1, host, Outcome::ConnectionLost, false));
         out = rig.step(5 * MS, reset.as_slice());
         let held = rig.now - read_at;
         assert!(held <= 500 * MS, "held for {held} us, of which nearly none with an attempt out");
--- a/tests/silent_servers.rs
+++ b/tests/silent_servers.rs
@@ -32,10 +32,10 @@
     let (_, mut asked) = Listener::accept_any(&all);
     asked.message();
     leaving.close();
-    program.logs("request v1: letting go of what is held");
+    program.logs("releasing reservation request_id=v1");
     std::thread::sleep(A_WHILE);
     // Those that come now are answered.
-    while program.has_not_logged("request v1: released") {
+    while program.has_not_logged("reservation released request_id=v1") {
         if let Some(mut call) = Listener::accept_soon(&all)
             && call.message_or_end().is_some_and(|asked| asked.head.starts_with("DELETE"))
         {
--- a/tests/soak/judge.rs
+++ b/tests/soak/judge.rs
@@ -33,7 +33,8 @@
 /// Judges a run, and the routers' logs. `tolerance` is for the delays of the machine itself.
 pub fn judge(world: &World, logs: &str, tolerance: Duration) -> Verdict {
     let data = world.data.borrow();
-    let taken = logs.lines().filter_map(|line| line.split_once("request ")?.1.split_once(": taken,"));
+    let taken =
+        logs.lines().filter_map(|line| line.split_once("request accepted request_id=")?.1.split_once(' '));
     let taken = taken.map(|(id, _)| id).collect();
     let mut judge = Judge { data: &data, taken, tolerance, breaks: Vec::new() };
     for (id, request) in &data.requests {
@@ -70,8 +71,8 @@
 fn trace(broken: &str, logs: &str) -> Option<String> {
     let words = broken.split([' ', ':', ',']);
     let id = words.into_iter().find(|word| word.starts_with('c') && word.contains('-'))?;
-    let named = format!("request {id}:");
-    let lines: Vec<_> = logs.lines().filter(|line| line.contains(&named)).collect();
+    let named = format!("request_id={id} ");
+    let lines: Vec<_> = logs.lines().filter(|line| format!("{line} ").contains(&named)).collect();
     Some(lines.join("\n"))
 }
 
--- a/tests/soak/router.rs
+++ b/tests/soak/router.rs
@@ -121,7 +121,7 @@
         self.note_known();
         let path = file(&self.base, "config.json", &text);
         let log = OpenOptions::new().append(true).open(&self.log).expect("the log");
-        let mut command = Command::new(env!("CARGO_BIN_EXE_croftsill"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_inference-router"));
         command.env("LB_CONFIG", path).env("RUST_LOG", "debug").envs(self.faults.variables());
         command.stdout(Stdio::null()).stderr(log);
         *self.child.borrow_mut() = Some(command.spawn().expect("the program starts"));
--- a/tests/module.rs
+++ b/tests/source_layout.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn the_module_keeps_its_size_and_width() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/logic");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/scheduler");
     let mut files = 0;
     for entry in std::fs::read_dir(folder).expect("the module's folder") {
         let path = entry.expect("a file of the module").path();
@@ -22,9 +22,9 @@
 fn the_deploy_file_names_every_file_of_the_module() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file");
-    for entry in std::fs::read_dir(root.join("src/logic")).expect("the module's folder") {
+    for entry in std::fs::read_dir(root.join("src/scheduler")).expect("the module's folder") {
         let name = entry.expect("a file of the module").file_name();
-        let named = format!("\"src/logic/{}\"", name.to_str().expect("a plain name"));
+        let named = format!("\"src/scheduler/{}\"", name.to_str().expect("a plain name"));
         assert!(deploy.contains(&named), "no {named} in the deploy file");
     }
 }
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -1,4 +1,4 @@
-//! Identities on the chat front, with certificates made here.
+//! IdentityVerifier on the chat front, with certificates made here.
 
 mod common;
 
@@ -79,7 +79,7 @@
     );
     let file = program::chat(&base, &["s1"], &tls);
     let mut program = program::Program::start(&base, &["--chat", file.to_str().expect("a plain path")], &[]);
-    program.logs("chat front listens");
+    program.logs("listening api=\"chat\"");
     let addr = format!("{base}:8090");
     let with = |by: &Authority, uris: &[&str]| {
         let (_, certificate, key) = svid(by, uris);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -56,7 +56,7 @@
     std::thread::sleep(A_MOMENT);
     assert!(program.runs(), "it ended");
     faults.set(&[]);
-    program.logs("listens on");
+    program.logs("listening api=\"platform\"");
     program.end();
 }
 
@@ -73,7 +73,7 @@
 #[test]
 fn a_program_that_cannot_start_yet_still_ends_when_it_is_told_to() {
     let (mut program, _faults) = starts_while(&address(), failing("bind", EADDRINUSE, 100));
-    program.logs("cannot listen on");
+    program.logs("cannot listen yet");
     program.signal("TERM");
     let begun = Instant::now();
     program.ended(true);
@@ -126,7 +126,7 @@
     let (mut program, _discovery, mut watch) =
         start_with(&base, &["r1", "w1"], &settings, &faults.variables());
     watch.send(&(list(2, false, &[started(&base, unix_ms())]) + "\n"));
-    program.logs("discovery: r1 is Ready");
+    program.logs("endpoint=r1 state=Ready");
     std::thread::sleep(A_MOMENT);
     let mut asking = client(&base);
     asking.send(&request("t1", "climb-query", 2_000));
@@ -144,7 +144,7 @@
     let (mut program, _discovery, mut watch) =
         start_with(&base, &["r1", "w1"], &settings, &faults.variables());
     watch.send(&(list(2, false, &[started(&base, unix_ms())]) + "\n"));
-    program.logs("discovery: r1 is Ready");
+    program.logs("endpoint=r1 state=Ready");
     let mut asking = client(&base);
     asking.send(&request("t2", "climb-query", 500));
     assert!(asking.message().head.starts_with("HTTP/1.1 429"));
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The adapter's translation, on the wire's own text.
 
-use croftsill::wire::Adapter;
+use inference_router::simulator::Adapter;
 
 const OPTIONS: &str = r#"{"accounts":[{"name":"t1","quotaPerS":10.0,"share":1.0}],"balancers":2,"failureDomains":["z1"],
 "familyInfo":{"ahead":false,"aimUsPer1000PromptTokens":[40000.0],"farPrice":0.03,"localRead":false,
@@ -88,7 +88,7 @@
 fn the_adapter_exits_with_a_plain_line_and_no_output_on_bad_input() {
     use std::io::Write;
     use std::process::{Command, Stdio};
-    let mut child = Command::new(env!("CARGO_BIN_EXE_croftsill-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -98,36 +98,36 @@
     let output = child.wait_with_output().unwrap();
     assert!(!output.status.success() && output.stdout.is_empty());
     let fault = String::from_utf8(output.stderr).unwrap();
-    assert!(fault.starts_with("croftsill-adapter: line 1: missing field `dispatchers`"), "{fault}");
+    assert!(fault.starts_with("simulator-adapter: line 1: missing field `dispatchers`"), "{fault}");
     assert_eq!(fault.lines().count(), 1);
 }
 
 #[test]
 fn every_action_has_its_text() {
-    use croftsill::api::*;
-    let (request, host) = (RequestId(9), HostId(2));
+    use inference_router::scheduler::*;
+    let (request, host) = (RequestId(9), EndpointId(2));
     for (action, text) in [
         (
-            Action::Send { request, host, time_out: 80_500, start_within: None },
+            Action::Send { request, endpoint: host, timeout: 80_500, start_within: None },
             r#"{"t":"send","handle":9,"host":2,"tryFor":80.5}"#,
         ),
         (Action::Cancel { request, attempt: AttemptId(1) }, r#"{"t":"abandon","handle":9,"roundNo":1}"#),
         (
-            Action::Refuse { request, retry_after: Some(250_000) },
+            Action::Reject { request, retry_after: Some(250_000) },
             r#"{"t":"reject","handle":9,"notBeforeFor":250.0}"#,
         ),
-        (Action::Refuse { request, retry_after: None }, r#"{"t":"reject","handle":9}"#),
+        (Action::Reject { request, retry_after: None }, r#"{"t":"reject","handle":9}"#),
         (Action::Fail(request), r#"{"t":"error","handle":9}"#),
-        (Action::Release(request), r#"{"t":"clearState","handle":9}"#),
-        (Action::Ahead { request, host }, r#"{"t":"pairEarly","handle":9,"host":2}"#),
-        (Action::Move(request), r#"{"t":"redirect","handle":9}"#),
-        (Action::Probe(host), r#"{"t":"soundOut","host":2}"#),
-        (Action::Close(host), r#"{"t":"letGo","host":2}"#),
-        (Action::List, r#"{"t":"getList"}"#),
-        (Action::Follow, r#"{"t":"observe","want":true}"#),
-        (Action::Wake { token: 7, after: 5_000 }, r#"{"t":"wakeMe","nonce":7,"after":5.0}"#),
+        (Action::ReleaseReservation(request), r#"{"t":"clearState","handle":9}"#),
+        (Action::ReserveAhead { request, endpoint: host }, r#"{"t":"pairEarly","handle":9,"host":2}"#),
+        (Action::Migrate(request), r#"{"t":"redirect","handle":9}"#),
+        (Action::HealthCheck(host), r#"{"t":"soundOut","host":2}"#),
+        (Action::CloseIdleConnections(host), r#"{"t":"letGo","host":2}"#),
+        (Action::FetchEndpoints, r#"{"t":"getList"}"#),
+        (Action::WatchEndpoints, r#"{"t":"observe","want":true}"#),
+        (Action::SetTimer { token: 7, after: 5_000 }, r#"{"t":"wakeMe","nonce":7,"after":5.0}"#),
         (Action::Log("two".into()), r#"{"t":"noteDown","bodyText":"two"}"#),
     ] {
-        assert_eq!(croftsill::wire::action_text(action).unwrap(), text);
+        assert_eq!(inference_router::simulator::action_text(action).unwrap(), text);
     }
 }
