--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,5 +4,5 @@
 pub mod faults;
 pub mod peers;
 pub mod program;
-pub mod rig;
+pub mod scheduler_harness;
 pub mod script;
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -1,15 +1,18 @@
-//! What changes while an attempt waits for a connection: nothing that may no longer begin is written then.
+//! Changes while an attempt waits for a connection: an attempt that may no longer start is not written then.
+
+mod common;
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
+use common::scheduler_harness::{DECODE, PREFILL, endpoint_update, request_spec, settings};
 use hyper::http::uri::PathAndQuery;
 use inference_router::clock::{Clock, duration_from_micros};
 use inference_router::metrics::Counters;
 use inference_router::request::lifecycle::{Responder, run_request};
 use inference_router::routing_context::RoutingContext;
-use inference_router::scheduler::*;
+use inference_router::scheduler::{EndpointId, Outcome};
 use inference_router::scheduler_handle::SchedulerHandle;
 use inference_router::upstream::connection_pool::{Connection, ConnectionPool, EndpointAddress, PoolLimits};
 use inference_router::upstream::exchange::{AttemptResponse, RequestPayload, Upstream, UpstreamProtocol};
@@ -19,37 +22,33 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout};
 
-mod common;
-use common::rig;
-
 /// Connections that the system queues for a listener.
 const BACKLOG: u32 = 1;
-/// For what is already on its way over loopback.
-const ON_THE_WAY: Duration = Duration::from_millis(200);
+/// For bytes that are already in transit over loopback.
+const LOOPBACK_DELAY: Duration = Duration::from_millis(200);
 /// Far above any wait that is meant.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// A core with one prefill server and one decode server at this address, and room for a single connection to them.
-/// What is under way cannot be withdrawn.
-fn core(listener: &TcpListener) -> RoutingContext {
-    let mut settings = rig::settings();
+/// The context of a router with one prefill endpoint and one decode endpoint at this address, and room for a single
+/// connection to them. Attempts cannot be cancelled.
+fn routing_context(listener: &TcpListener) -> RoutingContext {
+    let mut settings = settings();
     settings.capabilities.cancellation = false;
     let limits = PoolLimits { connect_timeout: PATIENCE, idle_timeout: PATIENCE, max_connections: 1 };
     let counters = Rc::new(Counters::default());
     let pool = Rc::new(ConnectionPool::new(limits, counters.clone()));
     let addr = listener.local_addr().expect("it listens");
-    let members = [rig::member(rig::PREFILL, 0), rig::member(rig::DECODE, 1)];
-    for m in &members {
-        pool.set_address(
-            m.endpoint,
-            Some(EndpointAddress { addr, role: settings.kinds[m.kind.0].role, ready: true }),
-        );
+    let updates = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    for update in &updates {
+        let role = settings.kinds[update.kind.0].role;
+        pool.set_address(update.endpoint, Some(EndpointAddress { addr, role, ready: true }));
     }
-    let held_most = duration_from_micros(settings.rules.reservation_limit);
-    let (planner, _orders) = SchedulerHandle::start(settings, 5, Clock::start());
-    planner.endpoints_changed(true, members.to_vec());
-    let upstream = Rc::new(Upstream::new(pool, UpstreamProtocol::Platform, counters.clone(), held_most));
-    RoutingContext { scheduler: planner, upstream, counters }
+    let max_reservation = duration_from_micros(settings.rules.reservation_limit);
+    let (scheduler, _commands) = SchedulerHandle::start(settings, 5, Clock::start());
+    scheduler.endpoints_changed(true, updates.to_vec());
+    let upstream =
+        Rc::new(Upstream::new(pool, UpstreamProtocol::Platform, counters.clone(), max_reservation));
+    RoutingContext { scheduler, upstream, counters }
 }
 
 fn payload() -> RequestPayload {
@@ -62,104 +61,107 @@
     }
 }
 
-/// Takes the only connection that there is room for.
-async fn take_room(core: &RoutingContext, listener: &TcpListener) -> Connection {
-    let Ok(taken) = core.upstream.pool().connection(EndpointId(rig::PREFILL)).await else {
+/// Takes the only connection that the pool has room for.
+async fn occupy_pool(context: &RoutingContext, listener: &TcpListener) -> Connection {
+    let Ok(occupying) = context.upstream.pool().connection(EndpointId(PREFILL)).await else {
         panic!("it listens");
     };
-    let _ = listener.accept().await.expect("the connection that takes the room");
-    taken
+    let _ = listener.accept().await.expect("the connection that occupies the pool");
+    occupying
 }
 
-async fn attempt_waits(core: &RoutingContext) {
-    while core.counters.attempts.get() == 0 {
+async fn wait_for_first_attempt(context: &RoutingContext) {
+    while context.counters.attempts.get() == 0 {
         tokio::task::yield_now().await;
     }
 }
 
-/// What the next connection brings, if one is made at all.
-async fn next_bytes(listener: TcpListener) -> Vec<u8> {
-    let mut got = Vec::new();
+/// The first bytes of the next connection, if one is made at all.
+async fn first_bytes_of_next_connection(listener: TcpListener) -> Vec<u8> {
+    let mut received = Vec::new();
     if let Ok((mut socket, _)) = listener.accept().await {
-        let _ = socket.read_buf(&mut got).await;
+        let _ = socket.read_buf(&mut received).await;
     }
-    got
+    received
 }
 
-async fn waits_for_a_connection_and_leaves() -> Vec<u8> {
+/// Lets a request wait for a connection, and its client disconnect; returns the bytes that were written.
+async fn disconnect_while_waiting_for_a_connection() -> Vec<u8> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let core = core(&listener);
-    let taken = take_room(&core, &listener).await;
-    let (caller, answer) = Responder::new();
-    let life = spawn_local(run_request(core.clone(), rig::ask(1), (payload(), ()), caller));
-    attempt_waits(&core).await;
-    drop(answer);
-    while core.counters.left.get() == 0 {
+    let context = routing_context(&listener);
+    let occupying = occupy_pool(&context, &listener).await;
+    let (responder, response) = Responder::new();
+    let request_task = spawn_local(run_request(context.clone(), request_spec(1), (payload(), ()), responder));
+    wait_for_first_attempt(&context).await;
+    drop(response);
+    while context.counters.left.get() == 0 {
         tokio::task::yield_now().await;
     }
-    // Room again: whatever still waits for a connection gets one now.
-    drop(taken);
+    // The pool has room again: an attempt that still waits for a connection gets one now.
+    drop(occupying);
     tokio::select! {
-        got = next_bytes(listener) => got,
-        ended = timeout(PATIENCE, life) => {
-            ended.expect("it ends").expect("it ends well");
+        received = first_bytes_of_next_connection(listener) => received,
+        finished = timeout(PATIENCE, request_task) => {
+            finished.expect("it ends").expect("it ends well");
             Vec::new()
         }
     }
 }
 
-/// Lets a request wait for a connection that does not come up, and its client leave; gives what was written.
-async fn waits_for_a_handshake_and_leaves() -> Vec<u8> {
+/// Lets a request wait for a handshake that does not complete, and its client disconnect; returns the bytes that were
+/// written.
+async fn disconnect_while_waiting_for_a_handshake() -> Vec<u8> {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a free port");
     let listener = socket.listen(BACKLOG).expect("it listens");
     let addr = listener.local_addr().expect("it listens");
-    // Nobody accepts these, so whoever comes next waits for the system to take the connection: it queues one
-    // more than it is told.
-    let mut crowd = Vec::new();
+    // Nobody accepts these, so the next handshake waits for the system to take the connection: it queues one more
+    // than its backlog.
+    let mut queued = Vec::new();
     for _ in 0..=BACKLOG {
-        crowd.push(TcpStream::connect(addr).await.expect("room in the queue"));
+        queued.push(TcpStream::connect(addr).await.expect("room in the queue"));
     }
-    let core = core(&listener);
-    let (caller, answer) = Responder::new();
-    let life = spawn_local(run_request(core.clone(), rig::ask(1), (payload(), ()), caller));
-    attempt_waits(&core).await;
-    drop(answer);
-    timeout(PATIENCE, life).await.expect("it ends").expect("it ends well");
-    drop(crowd);
+    let context = routing_context(&listener);
+    let (responder, response) = Responder::new();
+    let request_task = spawn_local(run_request(context.clone(), request_spec(1), (payload(), ()), responder));
+    wait_for_first_attempt(&context).await;
+    drop(response);
+    timeout(PATIENCE, request_task).await.expect("it ends").expect("it ends well");
+    drop(queued);
     let mut written = Vec::new();
-    while let Ok(Ok((mut socket, _))) = timeout(ON_THE_WAY, listener.accept()).await {
-        let _ = timeout(ON_THE_WAY, socket.read_to_end(&mut written)).await;
+    while let Ok(Ok((mut accepted, _))) = timeout(LOOPBACK_DELAY, listener.accept()).await {
+        let _ = timeout(LOOPBACK_DELAY, accepted.read_to_end(&mut written)).await;
     }
     written
 }
 
-/// Lets an attempt wait for a connection, makes the change, and gives what it came to and what was written.
-async fn waits_meanwhile(
-    start_by: Option<Instant>, change: impl FnOnce(&RoutingContext),
+/// Lets an attempt wait for a connection, makes the change, and returns its outcome and the bytes that were written.
+async fn change_while_waiting(
+    start_deadline: Option<Instant>, change: impl FnOnce(&RoutingContext),
 ) -> (Outcome, Vec<u8>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let core = core(&listener);
-    let taken = take_room(&core, &listener).await;
-    let (upstream, counters) = (core.upstream.clone(), core.counters.clone());
+    let context = routing_context(&listener);
+    let occupying = occupy_pool(&context, &listener).await;
+    let upstream = context.upstream.clone();
+    let counters = context.counters.clone();
     let attempt = spawn_local(async move {
         let gate = SendGate::new(counters);
-        let times = AttemptDeadlines {
+        let deadlines = AttemptDeadlines {
             response_deadline: Instant::now() + PATIENCE,
-            start_deadline: start_by,
+            start_deadline,
             reserved: false,
         };
-        let (first, _) = upstream.run_attempt(EndpointId(rig::PREFILL), &payload(), times, &gate).await;
-        let AttemptResponse::Finished(outcome) = first else { panic!("nobody answers") };
+        let (response, _) = upstream.run_attempt(EndpointId(PREFILL), &payload(), deadlines, &gate).await;
+        let AttemptResponse::Finished(outcome) = response else { panic!("nobody answers") };
         outcome
     });
-    attempt_waits(&core).await;
-    change(&core);
-    drop(taken);
-    let written = spawn_local(next_bytes(listener));
+    wait_for_first_attempt(&context).await;
+    change(&context);
+    drop(occupying);
+    let written = spawn_local(first_bytes_of_next_connection(listener));
     let outcome = timeout(PATIENCE, attempt).await.expect("it ends").expect("it ends well");
-    // The connections end here, and with them what the instance reads.
-    core.upstream.pool().set_address(EndpointId(rig::PREFILL), None);
+    // The connections are closed here, so that the read at the endpoint ends.
+    context.upstream.pool().set_address(EndpointId(PREFILL), None);
     (outcome, timeout(PATIENCE, written).await.expect("it ends").expect("it ends well"))
 }
 
@@ -169,55 +171,52 @@
 }
 
 #[test]
-fn a_request_that_waits_for_a_connection_is_not_sent_once_its_client_has_left() {
-    let got = run(waits_for_a_connection_and_leaves());
-    assert!(got.is_empty(), "sent {}", String::from_utf8_lossy(&got));
+fn a_request_that_waits_for_a_connection_is_not_sent_once_its_client_has_disconnected() {
+    let written = run(disconnect_while_waiting_for_a_connection());
+    assert!(written.is_empty(), "sent {}", String::from_utf8_lossy(&written));
 }
 
 #[test]
-fn a_request_whose_connection_does_not_come_up_is_not_sent_once_its_client_has_left() {
-    let got = run(waits_for_a_handshake_and_leaves());
-    assert!(got.is_empty(), "sent {}", String::from_utf8_lossy(&got));
+fn a_request_whose_handshake_does_not_complete_is_not_sent_once_its_client_has_disconnected() {
+    let written = run(disconnect_while_waiting_for_a_handshake());
+    assert!(written.is_empty(), "sent {}", String::from_utf8_lossy(&written));
 }
 
 #[test]
-fn an_attempt_that_waits_for_a_connection_is_not_sent_to_a_host_that_drains_by_then() {
-    let drains = |core: &RoutingContext| {
-        let host = EndpointId(rig::PREFILL);
-        let site = core.upstream.pool().address(host).expect("a known host");
-        core.upstream.pool().set_address(host, Some(EndpointAddress { ready: false, ..site }));
+fn an_attempt_that_waits_for_a_connection_is_not_sent_to_an_endpoint_that_drains_by_then() {
+    let drain = |context: &RoutingContext| {
+        let endpoint = EndpointId(PREFILL);
+        let address = context.upstream.pool().address(endpoint).expect("a known endpoint");
+        context.upstream.pool().set_address(endpoint, Some(EndpointAddress { ready: false, ..address }));
     };
-    let (outcome, written) = run(waits_meanwhile(None, drains));
-    assert_eq!(outcome, Outcome::NotSent, "it never ran, and its host is not to blame");
+    let (outcome, written) = run(change_while_waiting(None, drain));
+    assert_eq!(outcome, Outcome::NotSent, "it was never executed, and its endpoint is not to blame");
     assert!(written.is_empty(), "sent {}", String::from_utf8_lossy(&written));
 }
 
 #[test]
-fn an_attempt_that_waits_for_a_connection_is_not_sent_once_its_repeat_counts_as_new() {
-    let (outcome, written) = run(async { waits_meanwhile(Some(Instant::now()), |_| {}).await });
-    assert_eq!(outcome, Outcome::NotSent, "it never ran, and its host is not to blame");
+fn an_attempt_that_waits_for_a_connection_is_not_sent_once_its_deduplication_window_is_over() {
+    let (outcome, written) = run(async { change_while_waiting(Some(Instant::now()), |_| {}).await });
+    assert_eq!(outcome, Outcome::NotSent, "it was never executed, and its endpoint is not to blame");
     assert!(written.is_empty(), "sent {}", String::from_utf8_lossy(&written));
 }
 
 #[test]
-fn an_attempt_waits_for_a_connection_no_longer_than_it_may_begin() {
+fn an_attempt_waits_for_a_connection_no_longer_than_its_start_deadline() {
     let outcome = run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let core = core(&listener);
-        // It stays taken for good, at both ends.
-        let Ok(_taken) = core.upstream.pool().connection(EndpointId(rig::PREFILL)).await else {
+        let context = routing_context(&listener);
+        // The pool stays occupied for good, at both ends.
+        let Ok(_occupying) = context.upstream.pool().connection(EndpointId(PREFILL)).await else {
             panic!("it listens");
         };
-        let _accepted = listener.accept().await.expect("the connection that takes the room");
-        let gate = SendGate::new(core.counters.clone());
-        let start_by = Some(Instant::now() + Duration::from_millis(50));
-        let times = AttemptDeadlines {
-            response_deadline: Instant::now() + PATIENCE,
-            start_deadline: start_by,
-            reserved: true,
-        };
-        let host = EndpointId(rig::PREFILL);
-        let attempt = async { core.upstream.run_attempt(host, &payload(), times, &gate).await.0 };
+        let _accepted = listener.accept().await.expect("the connection that occupies the pool");
+        let gate = SendGate::new(context.counters.clone());
+        let start_deadline = Some(Instant::now() + Duration::from_millis(50));
+        let deadlines =
+            AttemptDeadlines { response_deadline: Instant::now() + PATIENCE, start_deadline, reserved: true };
+        let endpoint = EndpointId(PREFILL);
+        let attempt = async { context.upstream.run_attempt(endpoint, &payload(), deadlines, &gate).await.0 };
         match timeout(PATIENCE / 10, attempt).await {
             Ok(AttemptResponse::Finished(outcome)) => Some(outcome),
             _ => None,
--- /dev/null
+++ b/tests/scheduler/admission.rs
@@ -0,0 +1,270 @@
+//! Which requests are sent, which wait in a tier, and for how long an attempt may take.
+
+use inference_router::scheduler::{
+    Action, Event, LoadReport, Micros, Outcome, RequestId, RequestSpec, Tenant, TenantId,
+};
+
+use crate::common::scheduler_harness::{
+    DECODE, MILLISECOND, PREFILL, SECOND, SchedulerHarness, attempt_finished, attempt_finished_after,
+    endpoint_update, final_answers, request_spec, sent_endpoint, settings, settings_with_ample_memory,
+    with_elapsed,
+};
+
+#[test]
+fn a_request_is_prefilled_then_decoded() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    assert_eq!(sent_endpoint(&harness.receive_request(1)), Some(PREFILL));
+    assert_eq!(sent_endpoint(&harness.finish_attempt(1, PREFILL, Outcome::Prefilled)), Some(DECODE));
+}
+
+#[test]
+fn the_same_events_give_the_same_actions() {
+    let run = || {
+        let prefill = (1..5).map(|id| endpoint_update(id, 0));
+        let decode = (10..14).map(|id| endpoint_update(id, 1));
+        let endpoints: Vec<_> = prefill.chain(decode).collect();
+        let mut harness = SchedulerHarness::new(settings(), &endpoints);
+        (0..50).flat_map(|id| harness.receive_request(id)).collect::<Vec<_>>()
+    };
+    assert_eq!(run(), run());
+}
+
+#[test]
+fn an_unfitted_curve_does_not_admit_without_limit() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(2, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    let sent = (0..200).filter(|&id| sent_endpoint(&harness.receive_request(id)).is_some()).count();
+    assert!((5..60).contains(&sent), "{sent} admitted");
+}
+
+#[test]
+fn a_curve_that_shows_slow_streams_makes_requests_wait_before_their_prefill() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    // Twice the wanted pace even alone: the estimate was 100 tokens.
+    for id in 0..20 {
+        harness.serve(id, 12 * SECOND);
+    }
+    assert_eq!(sent_endpoint(&harness.receive_request(99)), None);
+}
+
+#[test]
+fn a_fast_decode_endpoint_goes_on_admitting() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    for id in 0..30 {
+        assert_eq!(harness.serve(id, 2 * SECOND), Some(DECODE));
+    }
+}
+
+#[test]
+fn requests_beyond_a_tenants_quota_wait_while_the_high_tier_holds_any() {
+    let mut settings = settings();
+    settings.tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1000.0 }];
+    let mut harness = SchedulerHarness::new(settings, &[]);
+    let request_of = |id: u64, tenant| RequestSpec { tenant: Some(TenantId(tenant)), ..request_spec(id) };
+    for id in 0..10 {
+        harness.receive(request_of(id, 0));
+    }
+    harness.receive(request_of(50, 1));
+    let actions = harness.receive_snapshot(&[endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)]);
+    let sent: Vec<_> = actions
+        .iter()
+        .filter_map(|action| match action {
+            Action::Send { request, .. } => Some(request.0),
+            _ => None,
+        })
+        .collect();
+    let position = sent.iter().position(|&id| id == 50).expect("the request within its quota is sent");
+    assert!(position <= 1 && sent.len() <= 3, "{sent:?}");
+}
+
+#[test]
+fn the_low_tier_has_one_request_in_flight_at_a_time() {
+    let endpoints = [
+        endpoint_update(PREFILL, 0),
+        endpoint_update(2, 0),
+        endpoint_update(3, 0),
+        endpoint_update(DECODE, 1),
+    ];
+    let mut harness = SchedulerHarness::new(settings_with_ample_memory(), &endpoints);
+    // Late requests only: their objectives have passed, their deadlines have not.
+    let late_request = |id| {
+        Event::RequestReceived(RequestSpec {
+            client_timeout: 4 * SECOND,
+            prompt_tokens: 40_000.0,
+            prefix: None,
+            ..request_spec(id)
+        })
+    };
+    let sent = (0..20)
+        .filter(|&id| sent_endpoint(&harness.step(5 * MILLISECOND, &[late_request(id)])).is_some())
+        .count();
+    assert_eq!(sent, 1, "40,000 tokens can't be prefilled within the objective by any endpoint");
+}
+
+#[test]
+fn the_low_tier_of_a_large_fleet_goes_on_after_a_request_that_was_late() {
+    let mut settings = settings();
+    settings.replicas = 100;
+    let endpoints: Vec<_> =
+        (1..21).map(|id| endpoint_update(id, 0)).chain([endpoint_update(50, 1)]).collect();
+    let mut harness = SchedulerHarness::new(settings, &endpoints);
+    // Past its objective from the start, but not past the client's timeout.
+    let late_request = |id| {
+        let spec = RequestSpec { prompt_tokens: 40_000.0, client_timeout: 60 * SECOND, ..request_spec(id) };
+        Event::RequestReceived(spec)
+    };
+    for id in 1..6 {
+        let actions = harness.step(10 * SECOND, &[late_request(id)]);
+        let prefill = sent_endpoint(&actions).expect("sent untested");
+        let prefilled = attempt_finished_after(id, prefill, Outcome::Prefilled, 4 * SECOND);
+        harness.step(4 * SECOND, &[prefilled]);
+        harness.complete_stream(id, 50);
+    }
+    assert!(sent_endpoint(&harness.step(10 * SECOND, &[late_request(6)])).is_some());
+    let disconnected = Event::ClientDisconnected(RequestId(6));
+    harness.step(0, &[disconnected, attempt_finished(6, 1, Outcome::Cancelled, true)]);
+    let mut actions = harness.step(0, &[late_request(7)]);
+    let received_at = harness.now;
+    while sent_endpoint(&actions).is_none() {
+        actions = harness.tick(5 * MILLISECOND);
+        assert!(
+            harness.now < received_at + 3 * SECOND,
+            "100 replicas and 20 prefill endpoints: each replica may use one every 2 s"
+        );
+    }
+}
+
+#[test]
+fn a_queueing_delay_of_short_prefills_is_not_taken_for_the_cost_of_each_token() {
+    let endpoints: Vec<_> = (1..5).map(|id| endpoint_update(id, 0)).chain([endpoint_update(50, 1)]).collect();
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    for id in 0..8 {
+        let short = RequestSpec { prompt_tokens: 200.0, prefix: None, ..request_spec(id) };
+        let prefill = sent_endpoint(&harness.receive(short)).expect("sent");
+        // Prefills of other requests came before it.
+        let prefilled = attempt_finished_after(id, prefill, Outcome::Prefilled, 500 * MILLISECOND);
+        harness.step(500 * MILLISECOND, &[prefilled]);
+        harness.complete_stream(id, 50);
+    }
+    // Half a second in the queue and a prefill of 1.6 s fit into the four seconds that the client waits.
+    let long = RequestSpec { prompt_tokens: 20_000.0, prefix: None, ..request_spec(90) };
+    let actions = harness.receive(long);
+    assert!(sent_endpoint(&actions).is_some() && final_answers(&actions) == 0, "{actions:?}");
+}
+
+#[test]
+fn a_prefill_has_time_for_a_prefix_that_is_not_cached_after_all() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    let long = RequestSpec {
+        prompt_tokens: 8_000.0,
+        prefix_tokens: 7_500.0,
+        client_timeout: 20 * SECOND,
+        ..request_spec(1)
+    };
+    let actions = harness.receive(long);
+    let timeout = actions.iter().find_map(|action| match action {
+        Action::Send { timeout, .. } => Some(*timeout),
+        _ => None,
+    });
+    assert!(
+        timeout.is_some_and(|timeout| timeout >= 2 * SECOND),
+        "640 ms if the complete prompt is prefilled: {actions:?}"
+    );
+}
+
+#[test]
+fn a_replica_among_a_hundred_admits_from_its_first_second_on() {
+    let mut settings = settings();
+    settings.replicas = 100;
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings, &endpoints);
+    assert_eq!(sent_endpoint(&harness.receive_request(1)), Some(PREFILL));
+}
+
+#[test]
+fn prefills_that_time_out_make_the_next_request_wait() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    for id in 0..6 {
+        if sent_endpoint(&harness.receive_request(id)).is_some() {
+            let timed_out = attempt_finished(id, PREFILL, Outcome::TimedOut, true);
+            harness.step(2 * SECOND, &[with_elapsed(timed_out, 2 * SECOND)]);
+        }
+        harness.step(3 * SECOND, &[]);
+    }
+    let long = RequestSpec {
+        prompt_tokens: 8_000.0,
+        prefix: None,
+        session: None,
+        client_timeout: 2 * SECOND,
+        ..request_spec(90)
+    };
+    assert_eq!(sent_endpoint(&harness.receive(long)), None);
+}
+
+#[test]
+fn a_report_of_memory_held_by_others_keeps_a_full_decode_endpoint_from_admitting() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    for id in 0..20 {
+        assert_eq!(harness.serve(id, 2 * SECOND), Some(DECODE));
+    }
+    let report = LoadReport { memory_utilization: Some(0.95), ..LoadReport::default() };
+    for _ in 0..12 {
+        harness.receive_load_report(0, DECODE, report.clone());
+    }
+    assert_eq!(sent_endpoint(&harness.receive_request(99)), None);
+}
+
+fn timeout_of_last_send(actions: &[Action]) -> Micros {
+    match actions {
+        [.., Action::Send { timeout, .. }] => *timeout,
+        other => panic!("expected one send, found {other:?}"),
+    }
+}
+
+#[test]
+fn a_unary_answer_may_take_all_the_time_left() {
+    let mut harness = SchedulerHarness::new(settings(), &[endpoint_update(DECODE, 2)]);
+    let unary = |id| RequestSpec { unary: true, ..request_spec(id) };
+    assert!(timeout_of_last_send(&harness.receive_request(1)) < 4 * SECOND, "silence of a stream is a sign");
+    assert_eq!(timeout_of_last_send(&harness.receive(unary(2))), 4 * SECOND);
+    // Nor does its silence make the endpoint look slow to the next one.
+    let cancelled = attempt_finished(1, DECODE, Outcome::Cancelled, true);
+    let actions = harness.step(SECOND, &[cancelled, Event::RequestReceived(unary(3))]);
+    assert_eq!(timeout_of_last_send(&actions), 4 * SECOND);
+}
+
+#[test]
+fn a_prefilled_request_past_its_objective_goes_on_at_once() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    assert_eq!(sent_endpoint(&harness.receive_request(1)), Some(PREFILL));
+    // The prefill took longer than the objective of 1.06 s, and the client waits until 4 s.
+    let prefilled = attempt_finished(1, PREFILL, Outcome::Prefilled, false);
+    let actions = harness.step(1_500 * MILLISECOND, &[prefilled]);
+    assert_eq!(sent_endpoint(&actions), Some(DECODE), "waiting gains it nothing: {actions:?}");
+}
+
+#[test]
+fn extreme_times_and_sizes_do_not_panic() {
+    let mut decode = endpoint_update(DECODE, 1);
+    decode.started_at = Some(Micros::MAX);
+    let mut harness = SchedulerHarness::new(settings(), &[endpoint_update(PREFILL, 0), decode]);
+    for (id, client_timeout) in [(1, Micros::MAX), (2, -SECOND), (3, 0)] {
+        harness.receive(RequestSpec {
+            client_timeout,
+            prompt_tokens: f64::MAX,
+            stream_duration_hint: Some(Micros::MAX),
+            ..request_spec(id)
+        });
+    }
+    for id in 1..4 {
+        harness.finish_attempt(id, PREFILL, Outcome::Prefilled);
+        harness.tick(5 * MILLISECOND);
+    }
+}
--- /dev/null
+++ b/tests/scheduler/health_checks.rs
@@ -0,0 +1,153 @@
+//! When endpoints are health checked, and what their load reports change.
+
+use inference_router::scheduler::{
+    Action, Capabilities, EndpointId, Event, LoadReport, Outcome, RequestSpec, Settings,
+};
+
+use crate::common::scheduler_harness::{
+    DECODE, MILLISECOND, PREFILL, SECOND, SchedulerHarness, endpoint_update, first_token, health_checked,
+    request_spec, sent_endpoint, settings,
+};
+
+/// One replica of a hundred, with eight prefill endpoints that may be health checked.
+fn one_of_a_hundred_replicas() -> SchedulerHarness {
+    let mut settings = settings();
+    settings.replicas = 100;
+    settings.capabilities.health_checks = true;
+    let endpoints: Vec<_> = (1..9).map(|id| endpoint_update(id, 0)).chain([endpoint_update(50, 1)]).collect();
+    SchedulerHarness::new(settings, &endpoints)
+}
+
+/// The prefill endpoints that these actions health check.
+fn checked_prefill_endpoints(actions: &[Action]) -> Vec<u32> {
+    let checked = |action: &Action| match action {
+        Action::HealthCheck(EndpointId(id @ 1..9)) => Some(*id),
+        _ => None,
+    };
+    actions.iter().filter_map(checked).collect()
+}
+
+fn reports_queue(endpoint: u32, queued_prefill_tokens: f64) -> Event {
+    let report = LoadReport { queued_prefill_tokens: Some(queued_prefill_tokens), ..LoadReport::default() };
+    health_checked(endpoint, report)
+}
+
+#[test]
+fn a_replica_that_seldom_sees_its_prefill_endpoints_checks_them_and_chooses_the_shortest_queue() {
+    let mut harness = one_of_a_hundred_replicas();
+    harness.step(5 * SECOND, &[]);
+    let actions = harness.receive_request(1);
+    let checked = checked_prefill_endpoints(&actions);
+    assert_eq!((checked.len(), sent_endpoint(&actions)), (3, None), "{actions:?}");
+    let reports: Vec<_> = checked
+        .iter()
+        .zip([60_000.0, 0.0, 30_000.0])
+        .map(|(endpoint, queued)| reports_queue(*endpoint, queued))
+        .collect();
+    let mut later_actions = harness.step(5 * MILLISECOND, &reports);
+    while sent_endpoint(&later_actions).is_none() {
+        later_actions = harness.tick(5 * MILLISECOND);
+        assert!(harness.now < 105 * SECOND + 100 * MILLISECOND, "an answer is not waited for long");
+    }
+    assert_eq!(sent_endpoint(&later_actions), Some(checked[1]));
+}
+
+#[test]
+fn a_prefill_endpoint_that_does_not_answer_its_check_comes_after_those_that_do() {
+    let mut harness = one_of_a_hundred_replicas();
+    harness.step(5 * SECOND, &[]);
+    let checked = checked_prefill_endpoints(&harness.receive_request(1));
+    // The most preferred endpoint, which is thought to cache the prefix, may hang; the second has a short queue.
+    let reports = [reports_queue(checked[1], 1_000.0), reports_queue(checked[2], 9_000.0)];
+    harness.step(5 * MILLISECOND, &reports);
+    assert_eq!(sent_endpoint(&harness.tick(15 * MILLISECOND)), Some(checked[1]));
+}
+
+#[test]
+fn a_replica_whose_prefill_endpoints_do_not_answer_sends_all_the_same() {
+    let mut harness = one_of_a_hundred_replicas();
+    harness.step(5 * SECOND, &[]);
+    assert_eq!(sent_endpoint(&harness.receive_request(1)), None);
+    assert!(sent_endpoint(&harness.tick(20 * MILLISECOND)).is_some());
+}
+
+#[test]
+fn a_replica_with_recent_reports_of_its_prefill_endpoints_does_not_check_them() {
+    let mut harness = one_of_a_hundred_replicas();
+    harness.step(5 * SECOND, &[]);
+    // Twenty requests a second to each prefill endpoint.
+    let checks: Vec<_> = (0..400)
+        .map(|id| {
+            let actions = harness.step(6 * MILLISECOND, &[Event::RequestReceived(request_spec(id))]);
+            checked_prefill_endpoints(&actions).len()
+        })
+        .collect();
+    assert_eq!(checks[200..].iter().sum::<usize>(), 0, "{checks:?}");
+}
+
+fn checks_of_decode_endpoint(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| **action == Action::HealthCheck(EndpointId(DECODE))).count()
+}
+
+fn checks_in_ten_seconds(harness: &mut SchedulerHarness) -> usize {
+    (0..1_000).map(|_| checks_of_decode_endpoint(&harness.tick(10 * MILLISECOND))).sum()
+}
+
+#[test]
+fn decode_endpoints_are_checked_while_there_are_requests_and_few_reports_from_streams() {
+    let capabilities = Capabilities { health_checks: true, ..settings().capabilities };
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(Settings { capabilities, ..settings() }, &endpoints);
+    assert_eq!(checks_in_ten_seconds(&mut harness), 0, "nothing to decide");
+    harness.receive_request(1);
+    harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
+    harness.step(0, &[first_token(1, DECODE)]);
+    let alone = checks_in_ten_seconds(&mut harness);
+    assert!((8..=16).contains(&alone), "{alone} in 10 s by one of two that take turns every 0.35 s");
+    // Twenty requests a second: each answer brings a report.
+    let busy: Vec<_> = (2..402)
+        .map(|id| {
+            let received = Event::RequestReceived(request_spec(id));
+            checks_of_decode_endpoint(&harness.step(50 * MILLISECOND, &[received]))
+        })
+        .collect();
+    assert_eq!(busy[100..].iter().sum::<usize>(), 0, "{busy:?}");
+}
+
+#[test]
+fn absurd_load_reports_mislead_no_decision() {
+    for memory in [f64::NAN, f64::INFINITY, -5.0, 1e300] {
+        let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+        let mut harness = SchedulerHarness::new(Settings { replicas: 0, ..settings() }, &endpoints);
+        let report = LoadReport { memory_utilization: Some(memory), ..LoadReport::default() };
+        harness.receive_load_report(MILLISECOND, DECODE, report);
+        assert_eq!(harness.serve(1, 2 * SECOND), Some(DECODE), "{memory}");
+    }
+}
+
+/// Health checks that one decode endpoint gets in ten seconds from a fleet of replicas, each of which holds a request
+/// all the time.
+fn checks_by_fleet(replicas: u32) -> usize {
+    let mut settings = settings();
+    settings.replicas = replicas;
+    settings.capabilities.health_checks = true;
+    let count_checks =
+        |actions: &[Action]| actions.iter().filter(|action| matches!(action, Action::HealthCheck(_))).count();
+    let checks_by_replica = |seed: u32| {
+        let mut harness =
+            SchedulerHarness::with_seed(settings.clone(), u64::from(seed), &[endpoint_update(DECODE, 1)]);
+        let patient = RequestSpec { client_timeout: 60 * SECOND, ..request_spec(1) };
+        let first = count_checks(&harness.receive(patient));
+        first + (0..200).map(|_| count_checks(&harness.tick(50 * MILLISECOND))).sum::<usize>()
+    };
+    (0..replicas).map(checks_by_replica).sum()
+}
+
+#[test]
+fn a_decode_endpoint_is_checked_as_often_by_a_large_fleet_as_by_a_small_one() {
+    let few = checks_by_fleet(4);
+    let many = checks_by_fleet(100);
+    assert!(few >= 20, "a small fleet checks every 0.7 s: {few} checks in 10 s");
+    assert!(many <= few * 3 / 2, "{many} checks by 100 replicas, {few} by 4");
+    assert!(many >= few / 2, "{many} checks by 100 replicas, {few} by 4");
+}
--- /dev/null
+++ b/tests/scheduler/main.rs
@@ -0,0 +1,14 @@
+//! The scheduler's decisions, each through its public interface.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod admission;
+mod draining;
+mod ejection;
+mod endpoint_selection;
+mod final_answers;
+mod health_checks;
+mod reservations;
+mod retries;
+mod slow_start;
--- /dev/null
+++ b/tests/scheduler/reservations.rs
@@ -0,0 +1,128 @@
+//! A prefilled KV cache waits for its decode endpoint for a limited time: it is sent on or released before.
+
+use inference_router::scheduler::{Action, EndpointUpdate, Lifecycle, Outcome, RequestId};
+
+use crate::common::scheduler_harness::{
+    DECODE, MILLISECOND, PREFILL, SchedulerHarness, attempt_finished, attempt_finished_after,
+    endpoint_update, sent_endpoint, settings,
+};
+
+fn releases(actions: &[Action]) -> bool {
+    actions.contains(&Action::ReleaseReservation(RequestId(1)))
+}
+
+#[test]
+fn a_reservation_that_no_endpoint_takes_is_released_in_time() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    harness.receive_request(1);
+    harness.receive_delta(&[EndpointUpdate { lifecycle: Lifecycle::Removed, ..endpoint_update(DECODE, 1) }]);
+    let mut actions = harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
+    let reserved_at = harness.now;
+    while !releases(&actions) {
+        actions = harness.tick(5 * MILLISECOND);
+        assert!(harness.now < reserved_at + 500 * MILLISECOND, "still reserved");
+    }
+}
+
+#[test]
+fn a_reservation_whose_decode_endpoint_rejected_is_sent_on_or_released_in_time() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    harness.receive_request(1);
+    harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
+    let mut actions = harness.finish_attempt(1, DECODE, Outcome::Rejected);
+    let rejected_at = harness.now;
+    while sent_endpoint(&actions).is_none() && !releases(&actions) {
+        actions = harness.tick(5 * MILLISECOND);
+        assert!(harness.now < rejected_at + 500 * MILLISECOND, "still reserved");
+    }
+}
+
+#[test]
+fn a_reservation_whose_connection_was_lost_in_progress_is_sent_on_again() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    harness.receive_request(1);
+    let first = sent_endpoint(&harness.finish_attempt(1, PREFILL, Outcome::Prefilled)).expect("sent on");
+    let lost = attempt_finished_after(1, first, Outcome::ConnectionLost, 450 * MILLISECOND);
+    let actions = harness.step(450 * MILLISECOND, &[lost]);
+    let second = sent_endpoint(&actions).expect("sent on again at once");
+    assert!(![first, PREFILL].contains(&second), "the reservation was not released");
+}
+
+#[test]
+fn everything_is_released_where_a_missing_kv_cache_sends_the_prompt_back_to_the_queue() {
+    let mut settings = settings();
+    settings.capabilities.max_attempts = 8;
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
+    let mut harness = SchedulerHarness::new(settings, &endpoints);
+    harness.receive_request(1);
+    let first = sent_endpoint(&harness.finish_attempt(1, PREFILL, Outcome::Prefilled)).expect("sent on");
+    let second = sent_endpoint(&harness.finish_attempt(1, first, Outcome::TimedOut)).expect("sent on again");
+    // The first one may have fetched it without an answer.
+    let actions = harness.finish_attempt(1, second, Outcome::StateMissing);
+    assert!(releases(&actions), "{actions:?}");
+}
+
+#[test]
+fn a_reservation_waits_on_while_connections_to_decode_endpoints_fail() {
+    let mut settings = settings();
+    settings.capabilities.max_attempts = 8;
+    let decode = (10..18).map(|id| endpoint_update(id, 1));
+    let endpoints: Vec<_> = [endpoint_update(PREFILL, 0)].into_iter().chain(decode).collect();
+    let mut harness = SchedulerHarness::new(settings, &endpoints);
+    harness.receive_request(1);
+    let mut actions = harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
+    let reserved_at = harness.now;
+    while !releases(&actions) {
+        actions = match sent_endpoint(&actions) {
+            Some(endpoint) => {
+                let failed = attempt_finished(1, endpoint, Outcome::ConnectFailed, false);
+                harness.step(250 * MILLISECOND, &[failed])
+            }
+            None => harness.tick(5 * MILLISECOND),
+        };
+        assert!(harness.now < reserved_at + 800 * MILLISECOND, "still reserved");
+    }
+}
+
+#[test]
+fn a_reservation_is_sent_on_only_if_that_can_begin_within_its_time() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    harness.receive_request(1);
+    let first = sent_endpoint(&harness.finish_attempt(1, PREFILL, Outcome::Prefilled)).expect("sent on");
+    let reserved_at = harness.now;
+    let failed = attempt_finished(1, first, Outcome::ConnectFailed, false);
+    let actions = harness.step(250 * MILLISECOND, &[failed]);
+    let start_within = actions.iter().find_map(|action| match action {
+        Action::Send { start_within, .. } => Some(*start_within),
+        _ => None,
+    });
+    let left = reserved_at + 500 * MILLISECOND - harness.now;
+    let start_within = start_within.expect("sent on again");
+    assert!(
+        start_within.is_some_and(|within| within < left),
+        "{start_within:?} of the {left} us that are left"
+    );
+}
+
+#[test]
+fn a_connection_lost_right_after_a_send_does_not_extend_a_reservation() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    harness.receive_request(1);
+    let mut actions = harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
+    let reserved_at = harness.now;
+    while !releases(&actions) {
+        let lost = sent_endpoint(&actions)
+            .map(|endpoint| attempt_finished(1, endpoint, Outcome::ConnectionLost, false));
+        actions = harness.step(5 * MILLISECOND, lost.as_slice());
+        let reserved = harness.now - reserved_at;
+        assert!(
+            reserved <= 500 * MILLISECOND,
+            "reserved for {reserved} us, of which nearly none with an attempt in flight"
+        );
+    }
+}
--- /dev/null
+++ b/tests/scheduler/retries.rs
@@ -0,0 +1,211 @@
+//! Which requests are sent again after an attempt failed, and where.
+
+use inference_router::scheduler::{
+    Action, DeduplicationScope, EndpointUpdate, Idempotency, Lifecycle, Micros, Outcome, RequestId,
+    RequestSpec, Settings, ZoneId,
+};
+
+use crate::common::scheduler_harness::{
+    DECODE, MILLISECOND, PREFILL, SECOND, SchedulerHarness, endpoint_in_cell, endpoint_update, request_spec,
+    sent_endpoint, settings,
+};
+
+fn settings_with(idempotency: Idempotency) -> Settings {
+    let mut settings = settings();
+    settings.classes[0].idempotency = idempotency;
+    settings
+}
+
+/// A request whose first attempt at a decode endpoint timed out, and what the scheduler did then.
+pub(crate) fn after_decode_timeout(
+    idempotency: Idempotency, endpoints: &[EndpointUpdate],
+) -> (SchedulerHarness, Vec<Action>) {
+    let mut harness = SchedulerHarness::new(settings_with(idempotency), endpoints);
+    assert_eq!(sent_endpoint(&harness.receive_request(1)), Some(PREFILL));
+    let decode = sent_endpoint(&harness.finish_attempt(1, PREFILL, Outcome::Prefilled)).expect("sent on");
+    let actions = harness.finish_attempt(1, decode, Outcome::TimedOut);
+    (harness, actions)
+}
+
+#[test]
+fn a_non_idempotent_request_that_may_have_been_executed_fails_without_a_retry() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
+    let (_, actions) = after_decode_timeout(Idempotency::NonIdempotent, &endpoints);
+    assert_eq!(sent_endpoint(&actions), None);
+    assert!(actions.contains(&Action::Fail(RequestId(1))), "{actions:?}");
+}
+
+#[test]
+fn a_non_idempotent_request_that_was_certainly_not_executed_is_retried() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
+    let mut harness = SchedulerHarness::new(settings_with(Idempotency::NonIdempotent), &endpoints);
+    harness.receive_request(1);
+    let decode = sent_endpoint(&harness.finish_attempt(1, PREFILL, Outcome::Prefilled)).unwrap();
+    let next = sent_endpoint(&harness.finish_attempt(1, decode, Outcome::ConnectFailed)).unwrap();
+    assert_ne!(next, decode);
+}
+
+#[test]
+fn a_failed_prefill_of_a_non_idempotent_request_is_retried() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(2, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings_with(Idempotency::NonIdempotent), &endpoints);
+    let first = sent_endpoint(&harness.receive_request(1)).unwrap();
+    let next = sent_endpoint(&harness.finish_attempt(1, first, Outcome::ConnectionLost)).unwrap();
+    assert_ne!(next, first);
+}
+
+#[test]
+fn a_keyed_request_stays_in_its_scope_and_window() {
+    let endpoints =
+        [endpoint_in_cell(PREFILL, 0, 1), endpoint_in_cell(DECODE, 1, 1), endpoint_in_cell(11, 1, 2)];
+    let keyed = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: SECOND };
+    let (mut harness, mut actions) = after_decode_timeout(keyed, &endpoints);
+    for _ in 0..200 {
+        let sent = sent_endpoint(&actions);
+        assert!(sent.is_none_or(|endpoint| endpoint != 11), "left its scope");
+        let rejected = actions.iter().any(|action| matches!(action, Action::Reject { .. }));
+        assert!(!rejected, "a rejection promises too much");
+        let window_is_over = harness.now >= 101 * SECOND + 40 * MILLISECOND;
+        assert!(!window_is_over || sent.is_none_or(|endpoint| endpoint == PREFILL), "outside its window");
+        actions = harness.tick(10 * MILLISECOND);
+    }
+}
+
+#[test]
+fn a_keyed_request_that_may_have_been_executed_is_prefilled_again_in_its_scope_alone() {
+    let in_zone = |endpoint, kind, zone: usize| EndpointUpdate {
+        zone: ZoneId(zone),
+        ..endpoint_in_cell(endpoint, kind, zone as i64)
+    };
+    let endpoints = [
+        in_zone(PREFILL, 0, 0),
+        in_zone(2, 0, 1),
+        in_zone(3, 0, 1),
+        in_zone(DECODE, 1, 0),
+        in_zone(11, 1, 0),
+    ];
+    let endpoints_of_scope = [PREFILL, DECODE, 11];
+    let keyed = Idempotency::Keyed { scope: DeduplicationScope::Zone, window: 3 * SECOND };
+    let mut second_prefills = 0;
+    for id in 1..40 {
+        let mut harness = SchedulerHarness::new(settings_with(keyed), &endpoints);
+        // Each has preferred endpoints of its own.
+        let without_prefix = RequestSpec { prefix: None, prefix_tokens: 0.0, ..request_spec(id) };
+        let prefill = sent_endpoint(&harness.receive(without_prefix)).expect("a first prefill");
+        let prefilled = harness.finish_attempt(id, prefill, Outcome::Prefilled);
+        let decode = sent_endpoint(&prefilled).expect("a first decode");
+        // It may have been executed there, and its KV cache is gone: the prompt has to be prefilled again.
+        let mut actions = harness.finish_attempt(id, decode, Outcome::Malformed);
+        for _ in 0..20 {
+            if let Some(again) = sent_endpoint(&actions) {
+                assert!(
+                    endpoints_of_scope.contains(&again),
+                    "request {id} was sent out of its zone, to {again}"
+                );
+                second_prefills += 1;
+                break;
+            }
+            actions = harness.tick(10 * MILLISECOND);
+        }
+    }
+    assert!(second_prefills > 20, "{second_prefills} second prefills");
+}
+
+fn start_within(actions: &[Action]) -> Option<Option<Micros>> {
+    actions.iter().find_map(|action| match action {
+        Action::Send { start_within, .. } => Some(*start_within),
+        _ => None,
+    })
+}
+
+#[test]
+fn a_retry_of_a_keyed_request_carries_the_time_within_which_it_may_start() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
+    // Shorter than the reservation limit, which applies to each send of a KV cache.
+    let window = 300 * MILLISECOND;
+    let keyed = Idempotency::Keyed { scope: DeduplicationScope::All, window };
+    let mut harness = SchedulerHarness::new(settings_with(keyed), &endpoints);
+    let prefill = harness.receive_request(1);
+    assert_eq!(start_within(&prefill), Some(None), "a prefill has no effect");
+    let first = harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
+    let sent_at = harness.now;
+    assert_eq!(
+        start_within(&first),
+        Some(Some(450 * MILLISECOND)),
+        "nothing may have been executed yet, so only the reservation limits it"
+    );
+    let retry = harness.finish_attempt(1, sent_endpoint(&first).unwrap(), Outcome::Error);
+    let within = start_within(&retry).flatten().expect("a retry within its window");
+    // With time to spare for the way to the endpoint.
+    assert!(harness.now + within <= sent_at + window - 50 * MILLISECOND, "{within}");
+}
+
+#[test]
+fn no_second_attempt_is_sent_while_one_is_in_flight() {
+    let endpoints = [
+        endpoint_update(PREFILL, 0),
+        endpoint_update(2, 0),
+        endpoint_update(DECODE, 1),
+        endpoint_update(11, 1),
+    ];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    harness.receive_request(1);
+    for _ in 0..100 {
+        assert_eq!(sent_endpoint(&harness.tick(10 * MILLISECOND)), None);
+    }
+}
+
+/// A request whose first decode endpoint may have executed it and has been removed since, and whose second one could
+/// not be reached: what the scheduler does then.
+fn after_the_first_endpoint_was_removed(scope: DeduplicationScope) -> Vec<Action> {
+    let endpoints = [
+        endpoint_update(PREFILL, 0),
+        endpoint_update(DECODE, 1),
+        endpoint_update(11, 1),
+        endpoint_update(12, 1),
+    ];
+    let keyed = Idempotency::Keyed { scope, window: 5 * SECOND };
+    let mut harness = SchedulerHarness::new(settings_with(keyed), &endpoints);
+    harness.receive_request(1);
+    let first = sent_endpoint(&harness.finish_attempt(1, PREFILL, Outcome::Prefilled)).expect("sent on");
+    let retry = harness.finish_attempt(1, first, Outcome::ConnectionLost);
+    let second = sent_endpoint(&retry).expect("a retry in the scope");
+    let update = endpoints.iter().find(|update| update.endpoint.0 == first).expect("an endpoint of the list");
+    harness.receive_delta(&[EndpointUpdate { lifecycle: Lifecycle::Removed, ..update.clone() }]);
+    harness.finish_attempt(1, second, Outcome::ConnectFailed)
+}
+
+#[test]
+fn a_keyed_request_is_retried_in_its_scope_though_its_first_endpoint_was_removed() {
+    for scope in [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell] {
+        let actions = after_the_first_endpoint_was_removed(scope);
+        assert!(sent_endpoint(&actions).is_some(), "{scope:?}: {actions:?}");
+    }
+}
+
+#[test]
+fn a_request_whose_kv_cache_is_missing_is_prefilled_again() {
+    let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
+    let mut harness = SchedulerHarness::new(settings(), &endpoints);
+    harness.receive_request(1);
+    harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
+    assert_eq!(sent_endpoint(&harness.finish_attempt(1, DECODE, Outcome::StateMissing)), Some(PREFILL));
+}
+
+#[test]
+fn after_a_decode_endpoint_stays_silent_the_retry_goes_to_another_cell() {
+    let near = [
+        endpoint_in_cell(PREFILL, 0, 1),
+        endpoint_in_cell(10, 1, 1),
+        endpoint_in_cell(11, 1, 1),
+        endpoint_in_cell(13, 1, 1),
+    ];
+    let endpoints = [&near[..], &[endpoint_in_cell(12, 1, 2)]].concat();
+    for id in 1..9 {
+        let mut harness = SchedulerHarness::new(settings(), &endpoints);
+        harness.receive_request(id);
+        let first = sent_endpoint(&harness.finish_attempt(id, PREFILL, Outcome::Prefilled)).expect("sent on");
+        let next = sent_endpoint(&harness.finish_attempt(id, first, Outcome::TimedOut)).expect("tried again");
+        assert!(first == 12 || next == 12, "after {first} its neighbour {next}");
+    }
+}
