--- a/tests/both_apis.rs
+++ b/tests/both_apis.rs
@@ -1,180 +1,258 @@
-//! Both APIs at once on one process: 40 requests a second for a bounded time, each with one final answer, and no
-//! `route-save` at a server twice.
+//! Both APIs at once in one process: 40 requests a second for a bounded time, each with one final answer, and no
+//! `route-save` request at an endpoint twice.
 
 mod common;
 
-use common::program;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{Shutdown, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use common::config_files::{address, chat_config, endpoint_entry, path_argument, platform_config, port};
+use common::discovery_stub::serve_endpoint_list;
+use common::router_process::RouterProcess;
+
+/// How many requests are sent, half of them to each API.
 const REQUESTS: u32 = 120;
-const GAP: Duration = Duration::from_millis(25);
-/// `route-save` requests, one of each API, whose connection breaks before the first event or after it.
-const BREAK_BEFORE: [u32; 2] = [21, 40];
-const BREAK_AFTER: [u32; 2] = [61, 80];
-
-/// One message read from a connection: its head and its body.
-fn message(reader: &mut BufReader<TcpStream>) -> Option<(String, String)> {
-    let mut head = String::new();
-    while !head.ends_with("\r\n\r\n") {
-        if reader.read_line(&mut head).ok()? == 0 {
-            return None;
+/// Between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
+/// `route-save` requests, one of each API, whose connection is closed before the first event.
+const CLOSED_BEFORE_FIRST_EVENT: [u32; 2] = [21, 40];
+/// `route-save` requests, one of each API, whose connection is closed after the first event.
+const CLOSED_AFTER_FIRST_EVENT: [u32; 2] = [61, 80];
+
+const RELEASED: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
+const PREFILLED: &[u8] = b"HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
+const FIRST_EVENT: &[u8] =
+    b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n\
+    9\r\ndata: {}\n\r\n";
+const COMPLETE_STREAM: &[u8] =
+    b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n\
+    18\r\ndata: {}\n\ndata: [DONE]\n\n\r\n0\r\n\r\n";
+
+/// How often each request arrived at an endpoint that answers it.
+type ArrivalCounts = Arc<Mutex<HashMap<String, u32>>>;
+
+/// One message read from a connection.
+struct Message {
+    head: String,
+    body: String,
+}
+
+impl Message {
+    /// Reads a message; none where the connection ends before it is complete.
+    fn read(connection: &mut BufReader<TcpStream>) -> Option<Message> {
+        let mut head = String::new();
+        while !head.ends_with("\r\n\r\n") {
+            if connection.read_line(&mut head).ok()? == 0 {
+                return None;
+            }
         }
+        let body = if let Some(length) = header(&head, "content-length: ") {
+            let mut body = vec![0; length.parse().ok()?];
+            connection.read_exact(&mut body).ok()?;
+            body
+        } else if header(&head, "transfer-encoding: ").is_some() {
+            read_chunks(connection)?
+        } else {
+            Vec::new()
+        };
+        Some(Message { head, body: String::from_utf8_lossy(&body).into_owned() })
+    }
+
+    fn status(&self) -> u32 {
+        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or_default()
     }
-    let field =
-        |name: &str| head.lines().find_map(|l| l.to_lowercase().strip_prefix(name).map(str::to_owned));
+
+    /// The number of the request, which its prompt names.
+    fn request_number(&self) -> &str {
+        self.body.split("no ").nth(1).and_then(|text| text.split(' ').next()).unwrap_or_default()
+    }
+}
+
+/// The value of a header, by its name in lower case with the colon and the space behind it.
+fn header(head: &str, prefix: &str) -> Option<String> {
+    head.lines().find_map(|line| line.to_lowercase().strip_prefix(prefix).map(str::to_owned))
+}
+
+fn read_chunks(connection: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
     let mut body = Vec::new();
-    if let Some(length) = field("content-length: ") {
-        body = vec![0; length.parse().ok()?];
-        reader.read_exact(&mut body).ok()?;
-    } else if field("transfer-encoding: ").is_some() {
-        loop {
-            let mut size = String::new();
-            reader.read_line(&mut size).ok().filter(|&n| n > 0)?;
-            let mut chunk = vec![0; usize::from_str_radix(size.trim(), 16).ok()? + 2];
-            reader.read_exact(&mut chunk).ok()?;
-            body.extend_from_slice(&chunk[..chunk.len() - 2]);
-            if chunk.len() == 2 {
-                break;
-            }
+    loop {
+        let mut size = String::new();
+        connection.read_line(&mut size).ok().filter(|&length| length > 0)?;
+        let mut chunk = vec![0; usize::from_str_radix(size.trim(), 16).ok()? + 2];
+        connection.read_exact(&mut chunk).ok()?;
+        body.extend_from_slice(&chunk[..chunk.len() - 2]);
+        if chunk.len() == 2 {
+            return Some(body);
         }
     }
-    Some((head, String::from_utf8_lossy(&body).into_owned()))
 }
 
-type Seen = Arc<Mutex<HashMap<String, u32>>>;
-
-/// A stand-in that counts each request that arrives to be answered, and breaks or turns away some.
-fn instance(base: &str, name: &'static str, seen: Seen) {
-    let listener = TcpListener::bind(format!("{base}:{}", program::port(name))).expect("a free address");
+/// Starts an endpoint stub that counts each request that arrives to be answered, and closes the connections of some.
+fn start_endpoint_stub(base: &str, name: &'static str, arrivals: ArrivalCounts) {
+    let listener = TcpListener::bind(format!("{base}:{}", port(name))).expect("a free address");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
-            let seen = seen.clone();
-            std::thread::spawn(move || {
-                let _ = socket.set_nodelay(true);
-                let mut out = socket.try_clone().expect("a second handle");
-                let mut reader = BufReader::new(socket);
-                while let Some((head, body)) = message(&mut reader) {
-                    if head.starts_with("DELETE") {
-                        let _ = out.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
-                        continue;
-                    }
-                    if name.starts_with('r') {
-                        let _ = out.write_all(
-                            b"HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}",
-                        );
-                        continue;
-                    }
-                    let number =
-                        body.split("no ").nth(1).and_then(|t| t.split(' ').next()).unwrap_or_default();
-                    *seen.lock().expect("the counts").entry(number.to_owned()).or_default() += 1;
-                    match number.parse::<u32>().unwrap_or_default() {
-                        n if BREAK_BEFORE.contains(&n) => return, // may have run
-                        n if BREAK_AFTER.contains(&n) => {
-                            let _ = out.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: {}\n\r\n");
-                            return; // broken in mid-stream
-                        }
-                        _ => {
-                            let _ = out.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n18\r\ndata: {}\n\ndata: [DONE]\n\n\r\n0\r\n\r\n");
-                        }
-                    }
-                }
-            });
+            let arrivals = arrivals.clone();
+            std::thread::spawn(move || serve_endpoint_connection(socket, name, &arrivals));
         }
     });
 }
 
+fn serve_endpoint_connection(socket: TcpStream, name: &str, arrivals: &ArrivalCounts) {
+    let _ = socket.set_nodelay(true);
+    let mut output = socket.try_clone().expect("a second handle");
+    let mut input = BufReader::new(socket);
+    while let Some(message) = Message::read(&mut input) {
+        if message.head.starts_with("DELETE") {
+            let _ = output.write_all(RELEASED);
+            continue;
+        }
+        if name.starts_with('r') {
+            let _ = output.write_all(PREFILLED);
+            continue;
+        }
+        let number = message.request_number();
+        *arrivals.lock().expect("the counts").entry(number.to_owned()).or_default() += 1;
+        match number.parse::<u32>().unwrap_or_default() {
+            number if CLOSED_BEFORE_FIRST_EVENT.contains(&number) => return,
+            number if CLOSED_AFTER_FIRST_EVENT.contains(&number) => {
+                let _ = output.write_all(FIRST_EVENT);
+                return;
+            }
+            _ => {
+                let _ = output.write_all(COMPLETE_STREAM);
+            }
+        }
+    }
+}
+
 /// How one request ended for its client.
 #[derive(Debug, PartialEq)]
-enum Ended {
-    Whole,
-    Cut,
+enum ClientResult {
+    Complete,
+    ConnectionLost,
     Status(u32),
 }
 
-fn client(base: &str, number: u32) -> Ended {
-    let (chat, class) =
-        (number.is_multiple_of(2), if number % 4 < 2 { "route-save" } else { "climb-assist" });
-    let socket =
-        TcpStream::connect(format!("{base}:{}", if chat { 8090 } else { 8081 })).expect("it listens");
+/// Whether a request is not idempotent: two of every four are, one of each API.
+fn is_route_save(number: u32) -> bool {
+    number % 4 < 2
+}
+
+/// The port of a request's API, and the text of the request.
+fn request(number: u32) -> (u32, String) {
+    let to_chat_api = number.is_multiple_of(2);
+    let model = if is_route_save(number) { "route-save" } else { "climb-assist" };
+    let class = if is_route_save(number) { "route-save" } else { "climb-query" };
     let body = format!(
-        r#"{{"model":"{class}","stream":true,"messages":[{{"role":"user","content":"no {number} "}}]}}"#
+        r#"{{"model":"{model}","stream":true,"messages":[{{"role":"user","content":"no {number} "}}]}}"#
     );
-    let fields = format!(
-        "Request-Id: m{number}\r\nRequest-Class: {}\r\nRequest-Timeout-Ms: 60000\r\nRequest-Info: prompt_len=20000,max_out=10\r\n",
-        if class == "route-save" { class } else { "climb-query" }
+    let platform_headers = format!(
+        "Request-Id: m{number}\r\nRequest-Class: {class}\r\nRequest-Timeout-Ms: 60000\r\n\
+         Request-Info: prompt_len=20000,max_out=10\r\n"
     );
-    let mut out = socket.try_clone().expect("a second handle");
-    let head =
-        format!("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n{}", if chat { "" } else { &fields });
-    write!(out, "{head}Content-Length: {}\r\n\r\n{body}", body.len()).expect("it reads");
-    let mut reader = BufReader::new(socket);
-    match message(&mut reader) {
-        None => Ended::Cut,
-        Some((head, body)) => {
-            let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or_default();
-            // One final answer: nothing may follow it on this connection.
-            let _ = out.shutdown(std::net::Shutdown::Write);
-            let mut more = Vec::new();
-            let _ = reader.read_to_end(&mut more);
-            assert!(more.is_empty(), "request {number} got more: {}", String::from_utf8_lossy(&more));
-            if status == 200 && body.ends_with("[DONE]\n\n") { Ended::Whole } else { Ended::Status(status) }
-        }
-    }
+    let headers = if to_chat_api { "" } else { &platform_headers };
+    let text = format!(
+        "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
+    (if to_chat_api { 8_090 } else { 8_081 }, text)
 }
 
-#[test]
-fn both_apis_at_once_give_one_answer_each_and_repeat_no_route_save() {
-    let base = program::address();
-    let seen = Seen::default();
-    for name in ["r1", "w1", "w2", "s1", "s2"] {
-        instance(&base, name, seen.clone());
+fn send_request(base: &str, number: u32) -> ClientResult {
+    let (port, text) = request(number);
+    let socket = TcpStream::connect(format!("{base}:{port}")).expect("it listens");
+    let mut output = socket.try_clone().expect("a second handle");
+    output.write_all(text.as_bytes()).expect("it reads");
+    let mut input = BufReader::new(socket);
+    let Some(answer) = Message::read(&mut input) else { return ClientResult::ConnectionLost };
+    // One final answer: nothing may follow it on this connection.
+    let _ = output.shutdown(Shutdown::Write);
+    let mut more = Vec::new();
+    let _ = input.read_to_end(&mut more);
+    assert!(more.is_empty(), "request {number} got more: {}", String::from_utf8_lossy(&more));
+    if answer.status() == 200 && answer.body.ends_with("[DONE]\n\n") {
+        return ClientResult::Complete;
     }
-    let list = ["r1", "w1", "w2"].map(|n| program::target(&base, n, "Ready")).join(",");
-    let _watch = program::discovery(&base, list);
-    let (config, file) = (program::platform(&base), program::chat(&base, &["s1", "s2"], ""));
-    let words = ["--chat", file.to_str().expect("a plain path")];
-    let mut program = program::Program::start(&base, &words, &[("LB_CONFIG", &config)]);
-    program.logs("listening api=\"chat\"");
-    program.logs("ready endpoint_list=\"discovery\"");
+    ClientResult::Status(answer.status())
+}
+
+/// Sends all requests at their pace; returns how each of them ended.
+fn send_requests(base: &str) -> Vec<(u32, ClientResult)> {
     let start = Instant::now();
     let clients: Vec<_> = (0..REQUESTS)
         .map(|number| {
-            let base = base.clone();
+            let base = base.to_owned();
             std::thread::spawn(move || {
                 // The pace of arrivals; no verdict depends on it.
-                std::thread::sleep((start + GAP * number).saturating_duration_since(Instant::now()));
-                (number, client(&base, number))
+                let send_at = start + REQUEST_INTERVAL * number;
+                std::thread::sleep(send_at.saturating_duration_since(Instant::now()));
+                (number, send_request(&base, number))
             })
         })
         .collect();
-    let ended: Vec<_> = clients.into_iter().map(|c| c.join().expect("a client")).collect();
-    let log = program.end();
-    let seen = seen.lock().expect("the counts");
-    for (number, ended) in &ended {
-        let (route_save, arrived) = (number % 4 < 2, seen.get(&number.to_string()).copied().unwrap_or(0));
-        assert!(!route_save || arrived <= 1, "route-save {number} reached a server {arrived} times");
-        match (arrived, BREAK_BEFORE.contains(number), BREAK_AFTER.contains(number)) {
-            // Never sent: refused, as trying again is harmless.
-            (0, ..) => assert_eq!(*ended, Ended::Status(429), "request {number}"),
-            (_, true, _) => assert_eq!(*ended, Ended::Status(502), "request {number}"),
-            // A break that overtakes its event is one before it.
-            (_, _, true) => assert!([Ended::Cut, Ended::Status(502)].contains(ended), "request {number}"),
-            _ => assert_eq!(*ended, Ended::Whole, "request {number}"),
+    clients.into_iter().map(|client| client.join().expect("a client")).collect()
+}
+
+fn assert_result(number: u32, result: &ClientResult, arrivals: u32) {
+    assert!(
+        !is_route_save(number) || arrivals <= 1,
+        "route-save {number} reached an endpoint {arrivals} times"
+    );
+    let closed_before = CLOSED_BEFORE_FIRST_EVENT.contains(&number);
+    let closed_after = CLOSED_AFTER_FIRST_EVENT.contains(&number);
+    match (arrivals, closed_before, closed_after) {
+        // Never sent: rejected, as a retry is harmless.
+        (0, ..) => assert_eq!(*result, ClientResult::Status(429), "request {number}"),
+        (_, true, _) => assert_eq!(*result, ClientResult::Status(502), "request {number}"),
+        // A close that overtakes its event is one before it.
+        (_, _, true) => {
+            let allowed = [ClientResult::ConnectionLost, ClientResult::Status(502)];
+            assert!(allowed.contains(result), "request {number}");
         }
+        _ => assert_eq!(*result, ClientResult::Complete, "request {number}"),
+    }
+}
+
+/// Checks that the counters of an API, logged at the end, account for each of its requests with one final answer.
+fn assert_counters(log: &str, api: &str) {
+    let prefix = format!("final counters api=\"{api}\" counters=");
+    let line = log.lines().find_map(|line| line.split_once(&prefix)).expect("counters at the end").1;
+    let counters: HashMap<String, u32> = serde_json::from_str(line).expect("counters as JSON");
+    let names = ["served", "broken", "refused", "failed", "overdue", "left"];
+    let final_answers: u32 = names.iter().map(|name| counters[*name]).sum();
+    assert_eq!((counters["taken"], final_answers), (REQUESTS / 2, REQUESTS / 2), "{line}");
+}
+
+#[test]
+fn both_apis_at_once_give_one_answer_each_and_repeat_no_route_save() {
+    let base = address();
+    let arrivals = ArrivalCounts::default();
+    for name in ["r1", "w1", "w2", "s1", "s2"] {
+        start_endpoint_stub(&base, name, arrivals.clone());
+    }
+    let entries = ["r1", "w1", "w2"].map(|name| endpoint_entry(&base, name, "Ready"));
+    let _changes = serve_endpoint_list(&base, &entries);
+    let platform = platform_config(&base);
+    let chat = chat_config(&base, &["s1", "s2"], "");
+    let arguments = ["--chat", path_argument(&chat)];
+    let mut router = RouterProcess::start(&base, &arguments, &[("LB_CONFIG", &platform)]);
+    router.wait_for_log("listening api=\"chat\"");
+    router.wait_for_log("ready endpoint_list=\"discovery\"");
+    let results = send_requests(&base);
+    let log = router.terminate();
+    let arrivals = arrivals.lock().expect("the counts");
+    for (number, result) in &results {
+        assert_result(*number, result, arrivals.get(&number.to_string()).copied().unwrap_or(0));
     }
-    // Connections are used again once they have settled.
+    // Connections are reused once they have been idle for a while.
     assert!(!log.contains("\"reuses\":0,"), "{log}");
-    let whole = ended.iter().filter(|(_, e)| *e == Ended::Whole).count();
-    assert!(whole as u32 > REQUESTS / 2, "only {whole} were served:\n{log}");
-    for part in ["final counters api=\"platform\" counters=", "final counters api=\"chat\" counters="] {
-        let line = log.lines().find_map(|l| l.split_once(part)).expect("counters at the end").1;
-        let counts: HashMap<String, u32> = serde_json::from_str(line).expect("counters as JSON");
-        let finals: u32 =
-            ["served", "broken", "refused", "failed", "overdue", "left"].iter().map(|k| counts[*k]).sum();
-        assert_eq!((counts["taken"], finals), (REQUESTS / 2, REQUESTS / 2), "{line}");
+    let complete = results.iter().filter(|(_, result)| *result == ClientResult::Complete).count();
+    assert!(complete as u32 > REQUESTS / 2, "only {complete} were served:\n{log}");
+    for api in ["platform", "chat"] {
+        assert_counters(&log, api);
     }
 }
--- a/tests/client_connection.rs
+++ b/tests/client_connection.rs
@@ -1,4 +1,4 @@
-//! The life of a client's connection, on a clock of the test's own.
+//! The lifetime of a client's connection, on the paused clock of a test.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,8 +23,10 @@
 const TURNS: u32 = 1_000;
 /// Longer than what the small pipe holds.
 const ANSWER: &str = "an answer of more than sixty-four bytes, which a client reads only when it likes to";
+/// A request without a body.
 const GET: &str = "GET /x HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
+/// Answers every request with [`ANSWER`].
 #[derive(Clone)]
 struct FixedAnswer;
 
@@ -39,16 +41,18 @@
     }
 }
 
-/// A served connection over a pipe of this size: the client's end, and the state that the server keeps.
-fn connect(intake: &Rc<ConnectionLimiter>, pipe: usize) -> (DuplexStream, Rc<ClientState>) {
+/// A served connection over a pipe of this size: the client's end, and the state of the connection.
+fn connect(limiter: &Rc<ConnectionLimiter>, pipe: usize) -> (DuplexStream, Rc<ClientState>) {
     let (client, server) = tokio::io::duplex(pipe);
-    let (place, shutdown) = (intake.register(), Shutdown::default());
-    let (state, pending) = (place.client.clone(), shutdown.guard());
-    spawn_local(serve_connection(server, FixedAnswer, shutdown, (place, pending)));
+    let connection = limiter.register();
+    let shutdown = Shutdown::default();
+    let state = connection.client.clone();
+    let pending = shutdown.guard();
+    spawn_local(serve_connection(server, FixedAnswer, shutdown, (connection, pending)));
     (client, state)
 }
 
-async fn reads_answer(client: &mut DuplexStream) {
+async fn read_answer(client: &mut DuplexStream) {
     let mut text = Vec::new();
     while !String::from_utf8_lossy(&text).ends_with(ANSWER) {
         let read = timeout(PATIENCE, client.read_buf(&mut text)).await.expect("bytes or an end");
@@ -56,14 +60,14 @@
     }
 }
 
-async fn reaches(state: &ClientState, stage: ConnectionStage) {
+async fn wait_for_stage(state: &ClientState, expected: ConnectionStage) {
     for _ in 0..TURNS {
-        if state.stage() == stage {
+        if state.stage() == expected {
             return;
         }
         tokio::task::yield_now().await;
     }
-    panic!("{:?} instead of {stage:?}", state.stage());
+    panic!("{:?} instead of {expected:?}", state.stage());
 }
 
 fn run(test: impl Future<Output = ()>) {
@@ -72,57 +76,57 @@
 }
 
 #[test]
-fn a_connection_makes_no_room_for_others_while_its_answer_is_not_written_out() {
+fn a_connection_makes_no_room_for_others_before_its_answer_is_written() {
     run(async {
-        let intake = ConnectionLimiter::new(1, 1_024);
-        let (mut client, state) = connect(&intake, 64);
+        let limiter = ConnectionLimiter::new(1, 1_024);
+        let (mut client, state) = connect(&limiter, 64);
         client.write_all(GET.as_bytes()).await.expect("an open pipe");
-        reaches(&state, ConnectionStage::Answered).await;
-        let _other = intake.register();
-        reads_answer(&mut client).await;
-        // Written out, it is idle, and goes for the next one.
-        reaches(&state, ConnectionStage::Idle).await;
-        let _next = intake.register();
+        wait_for_stage(&state, ConnectionStage::Answered).await;
+        let _other = limiter.register();
+        read_answer(&mut client).await;
+        // Once it is written, the connection is idle, and is closed for the next one.
+        wait_for_stage(&state, ConnectionStage::Idle).await;
+        let _next = limiter.register();
         let read = timeout(PATIENCE, client.read_u8()).await.expect("an end");
         assert!(read.is_err(), "it went on");
     });
 }
 
 #[test]
-fn a_connection_whose_last_answer_has_just_been_written_makes_no_room_for_others() {
+fn a_connection_whose_final_answer_has_just_been_written_makes_no_room_for_others() {
     run(async {
-        let intake = ConnectionLimiter::new(1, 1_024);
-        let (mut client, state) = connect(&intake, 4_096);
+        let limiter = ConnectionLimiter::new(1, 1_024);
+        let (mut client, state) = connect(&limiter, 4_096);
         client
             .write_all(b"GET /x HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n")
             .await
             .expect("an open pipe");
-        reaches(&state, ConnectionStage::Leaving).await;
-        let _other = intake.register();
+        wait_for_stage(&state, ConnectionStage::Leaving).await;
+        let _other = limiter.register();
         assert_eq!(state.stage(), ConnectionStage::Leaving, "it was chosen though its client may still read");
         sleep(Duration::from_millis(500)).await;
-        let _next = intake.register();
+        let _next = limiter.register();
         assert_ne!(state.stage(), ConnectionStage::Leaving, "it goes when its client has had time to read");
     });
 }
 
 #[test]
-fn a_head_that_begins_on_an_idle_connection_has_its_own_time() {
+fn a_head_that_starts_on_an_idle_connection_has_its_own_timeout() {
     run(async {
         let (mut client, _state) = connect(&ConnectionLimiter::new(9, 1_024), 4_096);
         client.write_all(GET.as_bytes()).await.expect("an open pipe");
-        reads_answer(&mut client).await;
-        // Two pauses, each shorter than a connection may stand, and together longer.
+        read_answer(&mut client).await;
+        // Two pauses, each shorter than the idle timeout, and together longer.
         sleep(Duration::from_millis(1_900)).await;
         client.write_all(&GET.as_bytes()[..20]).await.expect("an open pipe");
         sleep(Duration::from_millis(1_900)).await;
         client.write_all(&GET.as_bytes()[20..]).await.expect("an open pipe");
-        reads_answer(&mut client).await;
+        read_answer(&mut client).await;
     });
 }
 
 #[test]
-fn a_client_that_says_nothing_or_never_ends_its_head_is_closed_within_three_seconds() {
+fn a_client_that_sends_nothing_or_an_incomplete_head_is_closed_within_three_seconds() {
     run(async {
         for first in ["", "GET /x HT"] {
             let (mut client, _state) = connect(&ConnectionLimiter::new(9, 1_024), 4_096);
--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -1,30 +1,37 @@
-//! Faults of system calls, put into a program that a test starts. What the control file says holds within some
-//! milliseconds.
+//! Injects faults into the system calls of a program that a test starts. A change of the control file takes effect
+//! within some milliseconds.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-use super::program::file;
+use super::config_files::file;
 
-/// Error numbers as Linux gives them.
-pub const EINTR: i32 = 4;
-pub const ENFILE: i32 = 23;
-pub const EMFILE: i32 = 24;
-pub const EADDRINUSE: i32 = 98;
-pub const EADDRNOTAVAIL: i32 = 99;
-pub const ENETUNREACH: i32 = 101;
-pub const ECONNABORTED: i32 = 103;
-pub const ENOBUFS: i32 = 105;
+/// Interrupted system call; error numbers are those of Linux.
+pub(crate) const EINTR: i32 = 4;
+/// Too many open files in the system.
+pub(crate) const ENFILE: i32 = 23;
+/// Too many open files in the process.
+pub(crate) const EMFILE: i32 = 24;
+/// Address already in use.
+pub(crate) const EADDRINUSE: i32 = 98;
+/// Cannot assign the requested address.
+pub(crate) const EADDRNOTAVAIL: i32 = 99;
+/// Network is unreachable.
+pub(crate) const ENETUNREACH: i32 = 101;
+/// Connection aborted before it was accepted.
+pub(crate) const ECONNABORTED: i32 = 103;
+/// No buffer space available.
+pub(crate) const ENOBUFS: i32 = 105;
 
 /// The faults of one program.
-pub struct Faults {
+pub(crate) struct Faults {
     base: String,
     library: &'static Path,
-    control: PathBuf,
+    control_file: PathBuf,
 }
 
-/// The library that makes calls fail, built once for each test program.
+/// The preloaded library that makes calls fail, built once for each test program.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -39,29 +46,29 @@
 
 impl Faults {
     /// Faults for the program at these addresses; each is a line of the control file.
-    pub fn new(base: &str, faults: &[String]) -> Self {
-        let control = file(base, "faults", &faults.join("\n"));
-        Faults { base: base.to_owned(), library: library(), control }
+    pub(crate) fn new(base: &str, faults: &[String]) -> Self {
+        let control_file = file(base, "faults", &faults.join("\n"));
+        Faults { base: base.to_owned(), library: library(), control_file }
     }
 
-    /// What the program has to be started with.
-    pub fn variables(&self) -> [(&str, &Path); 2] {
-        [("LD_PRELOAD", self.library), ("FAULTS_FILE", &self.control)]
+    /// The environment variables that the program has to be started with.
+    pub(crate) fn variables(&self) -> [(&str, &Path); 2] {
+        [("LD_PRELOAD", self.library), ("FAULTS_FILE", &self.control_file)]
     }
 
-    /// Other faults from now on.
-    pub fn set(&self, faults: &[String]) {
+    /// Replaces the faults from now on.
+    pub(crate) fn set(&self, faults: &[String]) {
         let next = file(&self.base, "faults.next", &faults.join("\n"));
-        std::fs::rename(next, &self.control).expect("a file of the test");
+        std::fs::rename(next, &self.control_file).expect("a file of the test");
     }
 }
 
-/// So many in a hundred of these calls fail with this error.
-pub fn failing(call: &str, error: i32, percent: u32) -> String {
+/// Makes `percent` of a hundred of these calls fail with this error.
+pub(crate) fn failing(call: &str, error: i32, percent: u32) -> String {
     format!("{call} {error} {percent}")
 }
 
-/// The wall clock is off by so many seconds.
-pub fn clock_off(seconds: i64) -> String {
+/// Sets the wall clock off by so many seconds.
+pub(crate) fn clock_off(seconds: i64) -> String {
     format!("clock 0 {seconds}")
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,14 @@
-//! What the tests share; each test program uses a part of it.
-#![allow(dead_code)]
+//! What the integration tests share: stubs of endpoints and of discovery, the router as a child process, and a
+//! harness around the scheduler alone.
+#![allow(dead_code, reason = "each test program uses a part of these helpers")]
 
-pub mod faults;
-pub mod peers;
-pub mod program;
-pub mod scheduler_harness;
-pub mod script;
+pub(crate) mod config_files;
+pub(crate) mod connection;
+pub(crate) mod discovery_stub;
+pub(crate) mod faults;
+pub(crate) mod messages;
+pub(crate) mod router_process;
+pub(crate) mod scheduler_harness;
+pub(crate) mod script;
+pub(crate) mod stub_listener;
+pub(crate) mod stubbed_router;
--- /dev/null
+++ b/tests/common/script/mod.rs
@@ -0,0 +1,110 @@
+//! Plays recorded exchanges against the router: a script's peers are clients, endpoint stubs and discovery on
+//! loopback sockets. Every step waits for bytes or for an end, never for a time to pass.
+
+mod parse;
+mod pattern;
+mod peer;
+
+use std::collections::BTreeMap;
+use std::sync::mpsc::{Sender, channel};
+
+use parse::{Api, Setup, Step, TitledStep, steps, write_configuration};
+use peer::ScriptPeer;
+
+use super::config_files::{address, endpoint_entry, endpoint_list, path_argument, port};
+use super::discovery_stub::serve_endpoint_list;
+use super::router_process::RouterProcess;
+
+/// The port of discovery where the script plays it.
+const DISCOVERY_PORT: u32 = 8_500;
+
+/// A script that is being played.
+struct Player {
+    base: String,
+    api: Api,
+    router: RouterProcess,
+    endpoint_changes: Sender<String>,
+    peers: BTreeMap<String, ScriptPeer>,
+    expected_counters: Vec<String>,
+}
+
+/// Plays one script. Its head line names the API and the endpoints: `platform r1 w1` or `chat s1 s2`.
+pub(crate) fn play(script: &str) {
+    let mut player = Player::start(&Setup::parse(script));
+    for step in steps(script, &player.base) {
+        player.perform(&step);
+    }
+    player.finish();
+}
+
+impl Player {
+    fn start(setup: &Setup<'_>) -> Self {
+        let base = address();
+        let peers = listening_peers(&base, setup);
+        let endpoint_changes = if setup.scripts_discovery() {
+            channel().0
+        } else {
+            let entry = |name: &&str| endpoint_entry(&base, name.trim_start_matches('!'), "Ready");
+            serve_endpoint_list(&base, &setup.names.iter().map(entry).collect::<Vec<_>>())
+        };
+        let router = start_router(&base, setup);
+        Player { base, api: setup.api, router, endpoint_changes, peers, expected_counters: Vec::new() }
+    }
+
+    fn perform(&mut self, titled: &TitledStep) {
+        match &titled.step {
+            Step::Signal(name) => self.router.signal(name),
+            Step::WaitForLog(part) => self.router.wait_for_log(part),
+            Step::Configure(configuration) => write_configuration(&self.base, configuration),
+            Step::ChangeEndpoint { name, state } => {
+                let entry = endpoint_entry(&self.base, name, state);
+                self.endpoint_changes.send(endpoint_list(2, false, &[entry])).expect("a watch");
+            }
+            Step::Peer { name, action } => {
+                let router_address = format!("{}:{}", self.base, self.api.port());
+                let peer = self.peers.entry(name.clone()).or_insert_with(ScriptPeer::client);
+                peer.perform(action, &router_address, &titled.title);
+            }
+            Step::ExpectCounters(counters) => self.expected_counters.clone_from(counters),
+        }
+    }
+
+    /// What nobody expected must not have come: a resend, a second answer, a last chunk.
+    fn finish(self) {
+        let log = self.router.terminate();
+        for (name, mut peer) in self.peers {
+            peer.assert_finished(&name);
+        }
+        for counter in self.expected_counters {
+            let (name, value) = counter.split_once(' ').expect("a counter and its value");
+            assert!(log.contains(&format!("\"{name}\":{value},")), "counter {counter} in\n{log}");
+        }
+    }
+}
+
+/// The endpoints of a script that listen, and discovery where the script plays it.
+fn listening_peers(base: &str, setup: &Setup<'_>) -> BTreeMap<String, ScriptPeer> {
+    let names = setup.names.iter().filter(|name| !name.starts_with('!'));
+    let start = |name: &&str| {
+        let port = if *name == "d" { DISCOVERY_PORT } else { port(name) };
+        ((*name).to_owned(), ScriptPeer::listening(&format!("{base}:{port}")))
+    };
+    names.map(start).collect()
+}
+
+/// Starts the router and waits until it serves.
+fn start_router(base: &str, setup: &Setup<'_>) -> RouterProcess {
+    let path = setup.api.write_configuration(base, &setup.names);
+    let mut router = match setup.api {
+        Api::Platform | Api::PlatformWithHealthChecks => {
+            RouterProcess::start(base, &[], &[("LB_CONFIG", &path)])
+        }
+        Api::Chat => RouterProcess::start(base, &["--chat", path_argument(&path)], &[]),
+    };
+    router.wait_for_log(match setup.api {
+        Api::Chat => "listening api=\"chat\"",
+        _ if setup.scripts_discovery() => "listening api=\"platform\"",
+        _ => "ready endpoint_list=\"discovery\"",
+    });
+    router
+}
--- /dev/null
+++ b/tests/common/script/pattern.rs
@@ -0,0 +1,54 @@
+//! Bytes that a script's lines stand for, and patterns of them.
+
+/// What a line `noise` stands for: bytes that are no HTTP.
+const NOISE: &str = "\u{1}\u{13}n\0ise\u{7f}";
+
+/// Whether a text matches the pattern, where `*` stands for anything within a line.
+pub(super) fn matches(pattern: &[u8], text: &[u8]) -> bool {
+    match pattern.split_first() {
+        None => text.is_empty(),
+        Some((b'*', rest)) => {
+            let line = text.iter().position(|&byte| byte == b'\n').unwrap_or(text.len());
+            (0..=line).any(|skipped| matches(rest, &text[skipped..]))
+        }
+        Some((byte, rest)) => {
+            text.split_first().is_some_and(|(first, more)| first == byte && matches(rest, more))
+        }
+    }
+}
+
+/// The bytes of a message: `body:` and `chunk:` lines with `\n` for line ends, `repeat N:` lines, header lines in
+/// which `{len}` stands for the length of the body.
+pub(super) fn message_bytes(lines: &[String]) -> Vec<u8> {
+    let body_length: usize = lines.iter().filter_map(|line| body(line)).map(|body| body.len()).sum();
+    let mut text = String::new();
+    for line in lines {
+        text += &line_text(line, body_length);
+    }
+    text.into_bytes()
+}
+
+fn line_text(line: &str, body_length: usize) -> String {
+    if let Some(text) = body(line) {
+        return text;
+    }
+    if let Some(text) = line.strip_prefix("chunk:") {
+        let text = with_line_ends(text.trim_start());
+        return format!("{:X}\r\n{text}\r\n", text.len());
+    }
+    if line == "noise" {
+        return NOISE.to_owned();
+    }
+    if let Some((times, text)) = line.strip_prefix("repeat ").and_then(|rest| rest.split_once(": ")) {
+        return text.repeat(times.parse().expect("a number"));
+    }
+    line.replace("{len}", &body_length.to_string()) + "\r\n"
+}
+
+fn body(line: &str) -> Option<String> {
+    line.strip_prefix("body: ").map(with_line_ends)
+}
+
+fn with_line_ends(text: &str) -> String {
+    text.replace("\\n", "\n")
+}
--- /dev/null
+++ b/tests/common/stubbed_router.rs
@@ -0,0 +1,64 @@
+//! A router between one prefill stub and one decode stub, which most tests on sockets need.
+
+use super::config_files::address;
+use super::connection::{Connection, connect_client};
+use super::discovery_stub::{DiscoveryStub, Watch};
+use super::messages::{PREFILLED, STREAM_END, STREAM_START};
+use super::router_process::{RouterProcess, RunningRouter, start_router};
+use super::stub_listener::StubListener;
+
+/// Answers the prefill of a request at a stub; the connection stays open as long as the result.
+pub(crate) fn answer_prefill(stub: &StubListener, id: &str) -> Connection {
+    let mut connection = stub.accept();
+    let received = connection.read_message();
+    assert_eq!(received.header("request-id"), Some(id), "{received:?}");
+    connection.send(PREFILLED);
+    connection
+}
+
+/// Accepts a request at a decode stub, and starts its stream.
+pub(crate) fn start_stream(stub: &StubListener, id: &str) -> Connection {
+    let mut connection = stub.accept();
+    let received = connection.read_message();
+    assert_eq!(received.header("request-id"), Some(id), "{received:?}");
+    connection.send(STREAM_START);
+    connection
+}
+
+/// The router, with a prefill stub and a decode stub that the test plays.
+pub(crate) struct StubbedRouter {
+    base: String,
+    /// The endpoint `r1`.
+    pub(crate) prefill_stub: StubListener,
+    /// The endpoint `w1`.
+    pub(crate) decode_stub: StubListener,
+    /// The router itself.
+    pub(crate) process: RouterProcess,
+    _discovery: DiscoveryStub,
+    _watch: Watch,
+}
+
+impl StubbedRouter {
+    /// Starts the router with parts of its configuration replaced.
+    pub(crate) fn start(replacements: &[(&str, &str)]) -> Self {
+        let base = address();
+        let prefill_stub = StubListener::endpoint(&base, "r1");
+        let decode_stub = StubListener::endpoint(&base, "w1");
+        let RunningRouter { process, discovery, watch } = start_router(&base, &["r1", "w1"], replacements);
+        StubbedRouter { base, prefill_stub, decode_stub, process, _discovery: discovery, _watch: watch }
+    }
+
+    /// A client's connection to the router.
+    pub(crate) fn client(&self) -> Connection {
+        connect_client(&self.base)
+    }
+
+    /// Plays a request to the end of its answer; the stubs' connections stay open as long as the result.
+    pub(crate) fn answer_request(&self, id: &str, client: &mut Connection) -> [Connection; 2] {
+        let prefill = answer_prefill(&self.prefill_stub, id);
+        let mut stream = start_stream(&self.decode_stub, id);
+        stream.send(STREAM_END);
+        client.read_until("0\r\n\r\n");
+        [prefill, stream]
+    }
+}
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -1,103 +1,117 @@
-//! Lists of servers and configurations that come in pieces, hold what cannot be read, or are half written.
+//! Endpoint lists and configurations that arrive in pieces, have malformed entries, or are half written.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::peers::{Connection, Discovery, Listener, client, list, start};
-use common::program::{address, file, target};
+use common::config_files::{address, endpoint_entry, endpoint_list, file, folder, port};
+use common::connection::connect_client;
+use common::discovery_stub::DiscoveryStub;
+use common::messages::{READINESS_REQUEST, request};
+use common::router_process::start_router;
+use common::stub_listener::StubListener;
+
 use inference_router::discovery::endpoint_list::ListReader;
 
-/// Once this is answered, the program has read what was sent to it before.
+/// Once this is answered, the router has read what was sent to it before.
 fn round_trip(base: &str) {
-    let mut other: Connection = client(base);
-    other.send("GET /-/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-    other.message();
+    let mut other = connect_client(base);
+    other.send(READINESS_REQUEST);
+    other.read_message();
     other.close();
 }
 
 #[test]
-fn a_list_that_is_cut_anywhere_is_taken_whole_on_the_same_watch() {
+fn an_endpoint_list_that_is_cut_anywhere_is_applied_on_the_same_watch() {
     let base = address();
-    let (mut program, _discovery, mut watch) = start(&base, &["w1"], &[]);
-    let text = list(2, false, &[target(&base, "w1", "Terminating")]) + "\n";
+    let mut router = start_router(&base, &["w1"], &[]);
+    let text = endpoint_list(2, false, &[endpoint_entry(&base, "w1", "Terminating")]) + "\n";
     for piece in ["\"weight\":1.", "\"version\":2", "\"full\":fal", "Terminating", "\"id\":\"w"] {
         assert!(text.contains(piece), "no {piece} in {text}");
     }
     let mut rest = text.as_str();
     for end in ["\"version\":2", "\"full\":fal", "\"id\":\"w", "Term", "\"weight\":1.", ",\"started_ms\":"] {
-        let (piece, behind) = rest.split_at(rest.find(end).expect("still to come") + end.len());
-        watch.send(piece);
+        let (piece, remaining) = rest.split_at(rest.find(end).expect("still to come") + end.len());
+        router.watch.send(piece);
         round_trip(&base);
-        rest = behind;
+        rest = remaining;
     }
-    watch.send(rest);
-    program.logs("endpoint=w1 state=Terminating");
-    let log = program.end();
+    router.watch.send(rest);
+    router.process.wait_for_log("endpoint=w1 state=Terminating");
+    let log = router.process.terminate();
     assert!(!log.contains("watch lost"), "{log}");
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_costs_no_other_entry() {
+fn a_malformed_entry_does_not_affect_other_entries() {
     let base = address();
-    let (mut program, _discovery, mut watch) = start(&base, &["r1", "w1", "w2"], &[]);
-    let unknown = target(&base, "w1", "Rebooting");
-    let nowhere = target(&base, "r1", "Ready").replace(&format!("\"{base}:"), "\"nowhere:");
-    let drains = target(&base, "w2", "Terminating");
-    watch.send(&(list(2, false, &[unknown, nowhere, drains]) + "\n"));
-    program.logs("endpoint=w2 state=Terminating");
-    let log = program.end();
+    let mut router = start_router(&base, &["r1", "w1", "w2"], &[]);
+    let unknown = endpoint_entry(&base, "w1", "Rebooting");
+    let nowhere = endpoint_entry(&base, "r1", "Ready").replace(&format!("\"{base}:"), "\"nowhere:");
+    let draining = endpoint_entry(&base, "w2", "Terminating");
+    router.watch.send(&(endpoint_list(2, false, &[unknown, nowhere, draining]) + "\n"));
+    router.process.wait_for_log("endpoint=w2 state=Terminating");
+    let log = router.process.terminate();
     assert!(!log.contains("watch lost"), "{log}");
 }
 
 #[test]
-fn a_server_whose_entry_cannot_be_read_gets_nothing_new() {
+fn an_endpoint_whose_entry_is_malformed_gets_nothing_new() {
     let base = address();
-    let prefills = Listener::instance(&base, "r1");
-    let (mut program, _discovery, mut watch) = start(&base, &["r1", "w1"], &[]);
-    let unknown = target(&base, "r1", "Rebooting");
-    let known = target(&base, "w1", "Terminating");
-    watch.send(&(list(2, false, &[unknown, known]) + "\n"));
-    program.logs("endpoint=w1 state=Terminating");
-    let mut asking = client(&base);
-    asking.send(&common::peers::request("u1", "climb-query", 300));
-    assert!(asking.message().head.starts_with("HTTP/1.1 429"));
-    program.end();
-    assert!(prefills.is_untouched(), "sent to a server in an unknown state");
+    let prefill_stub = StubListener::endpoint(&base, "r1");
+    let mut router = start_router(&base, &["r1", "w1"], &[]);
+    let unknown = endpoint_entry(&base, "r1", "Rebooting");
+    let known = endpoint_entry(&base, "w1", "Terminating");
+    router.watch.send(&(endpoint_list(2, false, &[unknown, known]) + "\n"));
+    router.process.wait_for_log("endpoint=w1 state=Terminating");
+    let mut client = connect_client(&base);
+    client.send(&request("u1", "climb-query", 300));
+    assert!(client.read_message().head.starts_with("HTTP/1.1 429"));
+    router.process.terminate();
+    assert!(prefill_stub.has_no_unaccepted_connection(), "sent to an endpoint in an unknown state");
 }
 
 #[test]
-fn a_long_list_in_small_pieces_costs_little_more_than_one_that_comes_at_once() {
-    let targets: Vec<_> = (0..3_200).map(|n| target("127.0.0.1", &format!("r{n}"), "Ready")).collect();
-    let text = list(1, true, &targets);
-    let read = |piece: usize| {
-        let (begun, mut reader) = (Instant::now(), ListReader::default());
-        let lists: Vec<_> =
-            text.as_bytes().chunks(piece).flat_map(|bytes| reader.push(bytes).expect("a list")).collect();
+fn a_long_list_in_small_pieces_takes_little_longer_than_one_in_a_single_piece() {
+    let entries: Vec<_> =
+        (0..3_200).map(|number| endpoint_entry("127.0.0.1", &format!("r{number}"), "Ready")).collect();
+    let text = endpoint_list(1, true, &entries);
+    let time_to_read = |piece_length: usize| {
+        let started_at = Instant::now();
+        let mut reader = ListReader::default();
+        let lists: Vec<_> = text
+            .as_bytes()
+            .chunks(piece_length)
+            .flat_map(|bytes| reader.push(bytes).expect("a list"))
+            .collect();
         assert_eq!(lists.len(), 1);
         assert_eq!(lists[0].endpoints.len(), 3_200);
-        begun.elapsed()
+        started_at.elapsed()
     };
-    let (whole, pieces) = (read(text.len()), read(97));
-    println!("{} bytes: whole {whole:?}, in pieces of 97 bytes {pieces:?}", text.len());
-    assert!(pieces < 5 * whole + Duration::from_millis(200), "whole {whole:?}, in pieces {pieces:?}");
+    let at_once = time_to_read(text.len());
+    let in_pieces = time_to_read(97);
+    println!("{} bytes: at once {at_once:?}, in pieces of 97 bytes {in_pieces:?}", text.len());
+    assert!(
+        in_pieces < 5 * at_once + Duration::from_millis(200),
+        "at once {at_once:?}, in pieces {in_pieces:?}"
+    );
 }
 
 #[test]
-fn a_configuration_that_is_half_written_at_the_signal_is_read_once_it_is_whole() {
+fn a_configuration_that_is_half_written_at_sighup_is_read_once_it_is_complete() {
     let base = address();
-    let (mut program, _discovery, _watch) = start(&base, &["w1"], &[]);
-    let path = std::env::temp_dir().join(format!("inference-router-{base}")).join("config.json");
-    let moved = format!("{base}:{}", common::program::port("moved"));
+    let mut router = start_router(&base, &["w1"], &[]);
+    let path = folder(&base).join("config.json");
+    let moved = format!("{base}:{}", port("moved"));
     let text =
         std::fs::read_to_string(&path).expect("the configuration").replace(&format!("{base}:8500"), &moved);
-    let mut other = Discovery::moved(&base, "moved");
+    let mut moved_discovery = DiscoveryStub::start_at(&base, "moved");
     file(&base, "config.json", &text[..text.len() / 2]);
-    program.signal("HUP");
-    program.logs("configuration not readable yet");
+    router.process.signal("HUP");
+    router.process.wait_for_log("configuration not readable yet");
     file(&base, "config.json", &text);
-    other.serves_list(&[target(&base, "w1", "Ready")]);
-    let _watch = other.opens_watch();
-    program.logs(&format!("discovery moved address={moved}"));
-    program.end();
+    moved_discovery.serve_snapshot(&[endpoint_entry(&base, "w1", "Ready")]);
+    let _new_watch = moved_discovery.open_watch();
+    router.process.wait_for_log(&format!("discovery moved address={moved}"));
+    router.process.terminate();
 }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! Recorded exchanges, played against the program. Each file says what it guards.
+//! Recorded exchanges, played against the router. The first line of each file says what it guards.
 
 mod common;
 
@@ -12,7 +12,7 @@
 }
 
 exchanges! {
-    safe_broken_before
+    idempotent_lost_before_first_event
+    non_idempotent_lost_before_first_event
     served
-    unsafe_broken_before
 }
--- a/tests/listener_close.rs
+++ b/tests/listener_close.rs
@@ -1,4 +1,4 @@
-//! The end of listening: nothing is taken by the system that nobody would serve.
+//! How the listener is closed: the system accepts no connection that nobody would serve.
 
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -15,6 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
+/// Answers every request with the same text.
 #[derive(Clone)]
 struct FixedAnswer;
 
@@ -28,23 +29,25 @@
     }
 }
 
-async fn ends_after_sigterm() -> SocketAddr {
+/// Serves until SIGTERM and a complete shutdown; returns the address that was served.
+async fn serve_until_sigterm() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it listens");
-    let (signals, shutdown) = (TerminationSignals::listen().expect("signals"), Shutdown::default());
-    let intake: Rc<ConnectionLimiter> = ConnectionLimiter::new(8, 1_024);
-    spawn_local(serve(listener, None, intake, shutdown.clone(), |_| FixedAnswer));
-    let own = std::process::id().to_string();
-    assert!(Command::new("kill").args(["-TERM", &own]).status().expect("kill runs").success());
+    let signals = TerminationSignals::listen().expect("signals");
+    let shutdown = Shutdown::default();
+    let limiter: Rc<ConnectionLimiter> = ConnectionLimiter::new(8, 1_024);
+    spawn_local(serve(listener, None, limiter, shutdown.clone(), |_| FixedAnswer));
+    let own_pid = std::process::id().to_string();
+    assert!(Command::new("kill").args(["-TERM", &own_pid]).status().expect("kill runs").success());
     shutdown.run(signals).await;
     address
 }
 
 #[test]
-fn nothing_is_taken_by_the_system_once_the_process_is_about_to_end() {
+fn the_system_accepts_no_connection_once_the_process_is_about_to_exit() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let tasks = LocalSet::new();
-    let address = tasks.block_on(&runtime, ends_after_sigterm());
-    // All tasks are as they were when the last connection had ended; the process would end here.
-    assert!(TcpStream::connect(address).is_err(), "it took a connection that it would reset");
+    let address = tasks.block_on(&runtime, serve_until_sigterm());
+    // All tasks are as they were when the last connection had been closed; the process would exit here.
+    assert!(TcpStream::connect(address).is_err(), "it accepted a connection that it would reset");
 }
--- a/tests/paused_process.rs
+++ b/tests/paused_process.rs
@@ -1,85 +1,104 @@
-//! A program that is held up, that has hardly any time, or that starts while discovery says nothing.
+//! A router that is paused by its system, that gets requests with hardly any time left, or that starts while discovery
+//! is silent.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::peers::{END, Listener, READ, STREAM, client, configuration, request, start};
-use common::program::{PATIENCE, Program, address, file, target};
+use common::config_files::{address, configuration, endpoint_entry, endpoint_list, file};
+use common::connection::connect_client;
+use common::messages::{PREFILLED, READINESS_REQUEST, STREAM_END, STREAM_START, request};
+use common::router_process::{PATIENCE, RouterProcess, start_router};
+use common::stub_listener::StubListener;
 
-/// How long the program is stopped: far longer than any attempt may begin after its client has left.
-const HELD_UP: Duration = Duration::from_millis(400);
+/// How long the process is stopped: far longer than any attempt may begin after its client has disconnected.
+const PAUSE: Duration = Duration::from_millis(400);
 
-/// Holds the program up while a client sends a request and closes; nothing of it may be sent on afterwards.
-fn closes_while_held_up(id: &str, connect_before: bool) {
+/// When a client connects to a router that is about to be paused.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ClientConnects {
+    BeforePause,
+    DuringPause,
+}
+
+/// Pauses the process while a client sends a request and disconnects; nothing of it may be forwarded afterwards.
+fn disconnect_during_pause(id: &str, client_connects: ClientConnects) {
     let base = address();
-    let (prefills, decodes) = (Listener::instance(&base, "r1"), Listener::instance(&base, "w1"));
-    let (program, _discovery, _watch) = start(&base, &["r1", "w1"], &[]);
-    let kept = connect_before.then(|| {
-        let mut kept = client(&base);
-        kept.send("GET /-/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-        kept.message();
-        kept
-    });
-    program.signal("STOP");
-    let mut left = kept.unwrap_or_else(|| client(&base));
-    left.send(&request(id, "climb-query", 6_000));
-    left.close();
-    std::thread::sleep(HELD_UP);
-    program.signal("CONT");
-    program.end();
-    assert_eq!(prefills.requests_left() + decodes.requests_left(), 0, "sent after its client had left");
+    let prefill_stub = StubListener::endpoint(&base, "r1");
+    let decode_stub = StubListener::endpoint(&base, "w1");
+    let router = start_router(&base, &["r1", "w1"], &[]);
+    let mut client = None;
+    if client_connects == ClientConnects::BeforePause {
+        let idle = client.insert(connect_client(&base));
+        idle.send(READINESS_REQUEST);
+        idle.read_message();
+    }
+    router.process.signal("STOP");
+    let mut client = client.unwrap_or_else(|| connect_client(&base));
+    client.send(&request(id, "climb-query", 6_000));
+    client.close();
+    std::thread::sleep(PAUSE);
+    router.process.signal("CONT");
+    router.process.terminate();
+    assert_eq!(
+        prefill_stub.count_unaccepted_requests() + decode_stub.count_unaccepted_requests(),
+        0,
+        "sent after its client had disconnected"
+    );
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_closed_while_its_request_stood_in_the_listener_s_queue() {
-    closes_while_held_up("g1", false);
+fn nothing_is_sent_for_a_client_that_disconnected_while_it_waited_to_be_accepted() {
+    disconnect_during_pause("g1", ClientConnects::DuringPause);
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_closed_on_a_kept_connection_while_the_program_was_held_up() {
-    closes_while_held_up("g2", true);
+fn nothing_is_sent_for_a_client_that_closed_an_idle_connection_during_a_pause() {
+    disconnect_during_pause("g2", ClientConnects::BeforePause);
 }
 
 #[test]
-fn a_request_with_hardly_any_time_is_refused_at_once() {
+fn a_request_with_hardly_any_time_left_is_rejected_at_once() {
     let base = address();
-    let (prefills, _decodes) = (Listener::instance(&base, "r1"), Listener::instance(&base, "w1"));
-    let (program, _discovery, _watch) = start(&base, &["r1", "w1"], &[]);
+    let prefill_stub = StubListener::endpoint(&base, "r1");
+    let _decode_stub = StubListener::endpoint(&base, "w1");
+    let router = start_router(&base, &["r1", "w1"], &[]);
     for timeout_ms in [1, 5, 6, 10, 15] {
-        let (begun, mut asking) = (Instant::now(), client(&base));
-        asking.send(&request(&format!("h{timeout_ms}"), "climb-query", timeout_ms));
-        let answer = asking.message();
+        let sent_at = Instant::now();
+        let mut client = connect_client(&base);
+        client.send(&request(&format!("h{timeout_ms}"), "climb-query", timeout_ms));
+        let answer = client.read_message();
         assert!(answer.head.starts_with("HTTP/1.1 429"), "{answer:?}");
         assert!(answer.header("retry-after").is_some(), "{answer:?}");
-        assert!(begun.elapsed() < Duration::from_millis(500), "{:?}", begun.elapsed());
+        assert!(sent_at.elapsed() < Duration::from_millis(500), "{:?}", sent_at.elapsed());
     }
-    program.end();
-    assert!(prefills.is_untouched(), "sent with no time left");
+    router.process.terminate();
+    assert!(prefill_stub.has_no_unaccepted_connection(), "sent with no time left");
 }
 
 #[test]
-fn a_router_that_starts_with_a_known_list_serves_while_discovery_is_silent() {
+fn a_router_that_starts_with_a_known_endpoint_list_serves_while_discovery_is_silent() {
     let base = address();
-    let (prefills, decodes) = (Listener::instance(&base, "r1"), Listener::instance(&base, "w1"));
-    let _silent = Listener::at(&format!("{base}:8500"));
+    let prefill_stub = StubListener::endpoint(&base, "r1");
+    let decode_stub = StubListener::endpoint(&base, "w1");
+    let _silent = StubListener::bind(&format!("{base}:8500"));
     let text = std::fs::read_to_string(configuration(&base, &[])).expect("the file just written");
-    let known = [target(&base, "r1", "Ready"), target(&base, "w1", "Ready")].join(",");
-    let known = format!("\"known\":{{\"version\":41,\"full\":true,\"servers\":[{known}]}},\"settings\"");
+    let entries = [endpoint_entry(&base, "r1", "Ready"), endpoint_entry(&base, "w1", "Ready")];
+    let known = format!("\"known\":{},\"settings\"", endpoint_list(41, true, &entries));
     let path = file(&base, "config.json", &text.replace("\"settings\"", &known));
-    let mut program = Program::start(&base, &[], &[("LB_CONFIG", &path)]);
-    program.logs("listening api=\"platform\"");
-    let begun = Instant::now();
-    let mut asking = client(&base);
-    asking.send(&request("k1", "climb-query", 6_000));
-    let mut prefill = prefills.accept();
-    prefill.message();
-    prefill.send(READ);
-    let mut decode = decodes.accept();
-    decode.message();
-    decode.send(STREAM);
-    decode.send(END);
-    asking.reads_until("0\r\n\r\n");
-    assert!(begun.elapsed() < PATIENCE / 10, "{:?} from the start to the answer", begun.elapsed());
-    program.end();
+    let mut router = RouterProcess::start(&base, &[], &[("LB_CONFIG", &path)]);
+    router.wait_for_log("listening api=\"platform\"");
+    let started_at = Instant::now();
+    let mut client = connect_client(&base);
+    client.send(&request("k1", "climb-query", 6_000));
+    let mut prefill = prefill_stub.accept();
+    prefill.read_message();
+    prefill.send(PREFILLED);
+    let mut decode = decode_stub.accept();
+    decode.read_message();
+    decode.send(STREAM_START);
+    decode.send(STREAM_END);
+    client.read_until("0\r\n\r\n");
+    assert!(started_at.elapsed() < PATIENCE / 10, "{:?} from the start to the answer", started_at.elapsed());
+    router.terminate();
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -41,7 +41,7 @@
 
 async fn soak(seed: u64, routers: usize, load: Duration) -> (World, String) {
     let world = World::new(seed);
-    let base = common::program::address();
+    let base = common::config_files::address();
     let roles = [(Role::Prefill, "r", PREFILL_SERVERS), (Role::Decode, "w", DECODE_SERVERS)];
     let mut servers = Vec::new();
     for (role, letter, count) in roles {
--- a/tests/soak/router.rs
+++ b/tests/soak/router.rs
@@ -14,9 +14,9 @@
 use tokio::time::{Instant, sleep};
 
 use super::agent::{Agent, line};
+use super::common::config_files::configuration;
+use super::common::config_files::{address, file};
 use super::common::faults::Faults;
-use super::common::peers::configuration;
-use super::common::program::{address, file};
 use super::world::World;
 
 /// From SIGTERM to SIGKILL: the longest deadline, which counts as 3 s at least, and 0.7 s.
--- a/tests/socket_limits.rs
+++ b/tests/socket_limits.rs
@@ -1,29 +1,32 @@
-//! What the program may use of its machine.
+//! The limit on sockets, and that removed endpoints leave nothing behind.
 
 mod common;
 
-use common::program;
+use common::config_files::{address, chat_config, platform_config};
 use inference_router::config::{ChatConfig, PlatformConfig};
 use inference_router::scheduler::{EndpointId, Role};
 use inference_router::upstream::connection_pool::{ConnectionPool, EndpointAddress};
 
 #[test]
-fn both_fronts_together_stay_under_the_limit_on_sockets() {
-    let base = program::address();
-    let mut platform = PlatformConfig::read(&program::platform(&base)).expect("a good configuration");
-    let chat = ChatConfig::read(&program::chat(&base, &["s1"], "")).expect("a good operator's file");
-    let of_chat = chat.max_clients + chat.pool.max_connections;
-    let of_platform = |p: &PlatformConfig| p.max_clients + p.pool.max_connections;
-    // The rest is for discovery, the connections that are only turned away, the listeners and the runtime.
-    assert!(of_platform(&platform) <= 900, "{}", of_platform(&platform));
-    platform.reserve_sockets(of_chat);
-    assert!(of_platform(&platform) + of_chat <= 900, "{} and {of_chat}", of_platform(&platform));
+fn both_apis_together_stay_under_the_limit_on_sockets() {
+    let base = address();
+    let mut platform = PlatformConfig::read(&platform_config(&base)).expect("a good configuration");
+    let chat = ChatConfig::read(&chat_config(&base, &["s1"], "")).expect("a good operator's file");
+    let chat_sockets = chat.max_clients + chat.pool.max_connections;
+    let platform_sockets = |config: &PlatformConfig| config.max_clients + config.pool.max_connections;
+    // The others are for discovery, the connections that are only rejected, the listeners and the runtime.
+    assert!(platform_sockets(&platform) <= 900, "{}", platform_sockets(&platform));
+    platform.reserve_sockets(chat_sockets);
+    assert!(
+        platform_sockets(&platform) + chat_sockets <= 900,
+        "{} and {chat_sockets}",
+        platform_sockets(&platform)
+    );
 }
 
 #[test]
-fn nothing_is_kept_of_an_instance_that_is_gone() {
-    let platform =
-        PlatformConfig::read(&program::platform(&program::address())).expect("a good configuration");
+fn nothing_is_kept_of_a_removed_endpoint() {
+    let platform = PlatformConfig::read(&platform_config(&address())).expect("a good configuration");
     let pool = ConnectionPool::new(platform.pool, Default::default());
     let addr = platform.listen;
     pool.set_address(EndpointId(7), Some(EndpointAddress { addr, role: Role::Prefill, ready: true }));
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -1,62 +1,69 @@
-//! IdentityVerifier on the chat front, with certificates made here.
+//! SPIFFE identities of clients at the chat API, with certificates made here.
 
 mod common;
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
-use std::path::Path;
 use std::sync::Arc;
 
-use common::program;
+use common::config_files::{address, chat_config, file, path_argument};
+use common::router_process::{ExpectedExit, RouterProcess};
 use rcgen::{BasicConstraints, CertificateParams, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair, SanType};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, Stream};
 
+/// An authority that signs certificates.
 struct Authority {
     issuer: Issuer<'static, KeyPair>,
     certificate: CertificateDer<'static>,
     pem: String,
 }
 
-fn authority() -> Authority {
+fn create_authority() -> Authority {
     let key = KeyPair::generate().expect("a key");
     let mut params = CertificateParams::new(Vec::new()).expect("parameters");
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     let made = params.self_signed(&key).expect("a certificate");
-    let (certificate, pem) = (made.der().clone(), made.pem());
+    let certificate = made.der().clone();
+    let pem = made.pem();
     Authority { issuer: Issuer::new(params, key), certificate, pem }
 }
 
-/// A certificate that names these URIs, and its key.
-fn svid(by: &Authority, uris: &[&str]) -> (String, CertificateDer<'static>, KeyPair) {
+/// A certificate and its key.
+struct Identity {
+    pem: String,
+    certificate: CertificateDer<'static>,
+    key: KeyPair,
+}
+
+/// An identity whose certificate names these URIs.
+fn create_identity(authority: &Authority, uris: &[&str]) -> Identity {
     let key = KeyPair::generate().expect("a key");
     let mut params = CertificateParams::new(vec!["chat".into()]).expect("parameters");
-    params.subject_alt_names.extend(uris.iter().map(|u| SanType::URI((*u).try_into().expect("a URI"))));
+    params.subject_alt_names.extend(uris.iter().map(|uri| SanType::URI((*uri).try_into().expect("a URI"))));
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ClientAuth, ExtendedKeyUsagePurpose::ServerAuth];
-    let made = params.signed_by(&key, &by.issuer).expect("a certificate");
-    (made.pem(), made.der().clone(), key)
+    let made = params.signed_by(&key, &authority.issuer).expect("a certificate");
+    Identity { pem: made.pem(), certificate: made.der().clone(), key }
 }
 
-/// What a client with this identity reads from `GET /v1/models`, or why it gets nothing.
-fn ask(
-    addr: &str, trust: &Authority, identity: Option<(CertificateDer<'static>, KeyPair)>,
-) -> std::io::Result<String> {
+/// The answer that a client with this identity reads to `GET /v1/models`, or why it gets none.
+fn get_models(address: &str, trusted: &Authority, identity: Option<Identity>) -> std::io::Result<String> {
     let mut roots = RootCertStore::empty();
-    roots.add(trust.certificate.clone()).expect("a root");
+    roots.add(trusted.certificate.clone()).expect("a root");
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
     let config = config.expect("versions").with_root_certificates(roots);
     let config = match identity {
-        Some((certificate, key)) => {
-            let key = PrivateKeyDer::try_from(key.serialize_der()).expect("a key");
-            config.with_client_auth_cert(vec![certificate], key).expect("an identity")
+        Some(identity) => {
+            let key = PrivateKeyDer::try_from(identity.key.serialize_der()).expect("a key");
+            config.with_client_auth_cert(vec![identity.certificate], key).expect("an identity")
         }
         None => config.with_no_client_auth(),
     };
     let mut session = ClientConnection::new(Arc::new(config), ServerName::try_from("chat").expect("a name"))
         .map_err(std::io::Error::other)?;
-    let mut socket = TcpStream::connect(addr)?;
+    let mut socket = TcpStream::connect(address)?;
     let mut stream = Stream::new(&mut session, &mut socket);
     stream.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\nConnection: close\r\n\r\n")?;
     let mut text = String::new();
@@ -64,72 +71,72 @@
     Ok(text)
 }
 
-const CLUB: &str = "spiffe://hanbit.example/partner/club";
+/// The one identity that is allowed.
+const ALLOWED_ID: &str = "spiffe://hanbit.example/partner/club";
 
 #[test]
 fn only_allowed_identities_are_served() {
-    let (ours, theirs) = (authority(), authority());
-    let base = program::address();
-    let (server, _, key) = svid(&ours, &["spiffe://hanbit.example/croftsill"]);
-    program::file(&base, "svid.pem", &server);
-    program::file(&base, "svid-key.pem", &key.serialize_pem());
-    program::file(&base, "bundle.pem", &ours.pem);
+    let (ours, theirs) = (create_authority(), create_authority());
+    let base = address();
+    let router_identity = create_identity(&ours, &["spiffe://hanbit.example/croftsill"]);
+    file(&base, "svid.pem", &router_identity.pem);
+    file(&base, "svid-key.pem", &router_identity.key.serialize_pem());
+    file(&base, "bundle.pem", &ours.pem);
     let tls = format!(
-        "[tls]\ncertificate = \"svid.pem\"\nkey = \"svid-key.pem\"\ntrust_bundle = \"bundle.pem\"\nallowed_ids = [\"{CLUB}\"]\n"
+        "[tls]\ncertificate = \"svid.pem\"\nkey = \"svid-key.pem\"\ntrust_bundle = \"bundle.pem\"\nallowed_ids = [\"{ALLOWED_ID}\"]\n"
     );
-    let file = program::chat(&base, &["s1"], &tls);
-    let mut program = program::Program::start(&base, &["--chat", file.to_str().expect("a plain path")], &[]);
-    program.logs("listening api=\"chat\"");
-    let addr = format!("{base}:8090");
-    let with = |by: &Authority, uris: &[&str]| {
-        let (_, certificate, key) = svid(by, uris);
-        ask(&addr, &ours, Some((certificate, key)))
+    let config = chat_config(&base, &["s1"], &tls);
+    let mut router = RouterProcess::start(&base, &["--chat", path_argument(&config)], &[]);
+    router.wait_for_log("listening api=\"chat\"");
+    let chat_address = format!("{base}:8090");
+    let get_models_as = |authority: &Authority, uris: &[&str]| {
+        get_models(&chat_address, &ours, Some(create_identity(authority, uris)))
     };
-    let served = with(&ours, &[CLUB]).expect("an allowed identity is answered");
+    let served = get_models_as(&ours, &[ALLOWED_ID]).expect("an allowed identity is answered");
     assert!(served.starts_with("HTTP/1.1 200 OK") && served.contains("climb-assist"), "{served}");
-    let denied = with(&ours, &["spiffe://hanbit.example/partner/other"]).expect("another one is told why");
+    let denied = get_models_as(&ours, &["spiffe://hanbit.example/partner/other"])
+        .expect("another one is answered too");
     assert!(denied.starts_with("HTTP/1.1 403") && denied.contains("identity_not_allowed"), "{denied}");
-    // No identity, two of them, one that is none, one of another authority, none at all: no answer.
-    assert!(with(&ours, &[]).is_err());
-    assert!(with(&ours, &[CLUB, "spiffe://hanbit.example/partner/two"]).is_err());
-    assert!(with(&ours, &["https://hanbit.example/partner/club"]).is_err());
-    assert!(with(&theirs, &[CLUB]).is_err());
-    assert!(ask(&addr, &ours, None).is_err());
-    // A bundle that is replaced while the program runs counts for the next client; one that is no bundle does not.
-    program::file(&base, "bundle.pem", "no bundle");
-    assert!(with(&ours, &[CLUB]).is_ok());
-    program::file(&base, "bundle.pem", &format!("{}{}", ours.pem, theirs.pem));
-    assert!(with(&theirs, &[CLUB]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK")));
+    // No URI, two of them, one that is no SPIFFE ID, one of another authority, no certificate at all: no answer.
+    assert!(get_models_as(&ours, &[]).is_err());
+    assert!(get_models_as(&ours, &[ALLOWED_ID, "spiffe://hanbit.example/partner/two"]).is_err());
+    assert!(get_models_as(&ours, &["https://hanbit.example/partner/club"]).is_err());
+    assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_err());
+    assert!(get_models(&chat_address, &ours, None).is_err());
+    // A bundle that is replaced while the router runs applies to the next client; a malformed one is ignored.
+    file(&base, "bundle.pem", "no bundle");
+    assert!(get_models_as(&ours, &[ALLOWED_ID]).is_ok());
+    file(&base, "bundle.pem", &format!("{}{}", ours.pem, theirs.pem));
+    assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK")));
     // Without TLS there is no answer either.
-    let mut plain = TcpStream::connect(&addr).expect("it listens");
+    let mut plain = TcpStream::connect(&chat_address).expect("it listens");
     plain.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\n\r\n").expect("it reads");
     let mut text = Vec::new();
     let _ = plain.read_to_end(&mut text);
     assert!(!text.starts_with(b"HTTP"), "{}", String::from_utf8_lossy(&text));
-    program.end();
+    router.terminate();
 }
 
 #[test]
-fn a_bad_operator_file_is_one_plain_line() {
-    let base = program::address();
-    let path = |file: &Path| file.to_str().expect("a plain path").to_owned();
-    let ended = |words: &[&str], part: &str| {
-        let mut program = program::Program::start(&base, words, &[]);
-        let log = program.ended(false);
+fn a_malformed_operator_file_is_reported_in_one_plain_line() {
+    let base = address();
+    let assert_fails_with = |arguments: &[&str], part: &str| {
+        let mut router = RouterProcess::start(&base, arguments, &[]);
+        let log = router.wait_for_exit(ExpectedExit::Failure);
         assert!(log.lines().count() == 1 && log.contains(part), "{log}");
     };
     let bad_id =
         "[tls]\ncertificate = \"a\"\nkey = \"b\"\ntrust_bundle = \"c\"\nallowed_ids = [\"spiffe://Bad/\"]\n";
-    ended(&["--chat", &path(&program::chat(&base, &["s1"], bad_id))], "is not a SPIFFE ID");
-    let no_files = bad_id.replace("spiffe://Bad/", CLUB);
-    ended(&["--chat", &path(&program::chat(&base, &["s1"], &no_files))], "/c: ");
-    ended(&["--chat", &path(&program::chat(&base, &["s1"], "[colour]"))], "unknown field");
-    ended(&["--chat", &path(&program::file(&base, "odd.toml", "listen = 1"))], "odd.toml: ");
-    ended(&["--chat", "/nowhere"], "cannot read /nowhere");
-    ended(&["--chat"], "usage: ");
-    ended(&[], "nothing to do");
-    let config = program::file(&base, "config.json", "{\"name\":1}");
-    let mut program = program::Program::start(&base, &[], &[("LB_CONFIG", &config)]);
-    let log = program.ended(false);
+    assert_fails_with(&["--chat", path_argument(&chat_config(&base, &["s1"], bad_id))], "is not a SPIFFE ID");
+    let no_files = bad_id.replace("spiffe://Bad/", ALLOWED_ID);
+    assert_fails_with(&["--chat", path_argument(&chat_config(&base, &["s1"], &no_files))], "/c: ");
+    assert_fails_with(&["--chat", path_argument(&chat_config(&base, &["s1"], "[colour]"))], "unknown field");
+    assert_fails_with(&["--chat", path_argument(&file(&base, "odd.toml", "listen = 1"))], "odd.toml: ");
+    assert_fails_with(&["--chat", "/nowhere"], "cannot read /nowhere");
+    assert_fails_with(&["--chat"], "usage: ");
+    assert_fails_with(&[], "nothing to do");
+    let config = file(&base, "config.json", "{\"name\":1}");
+    let mut router = RouterProcess::start(&base, &[], &[("LB_CONFIG", &config)]);
+    let log = router.wait_for_exit(ExpectedExit::Failure);
     assert!(log.lines().count() == 1 && log.contains("config.json: invalid type"), "{log}");
 }
