--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -1,30 +1,141 @@
-//! The module stays in files that are short enough to read.
+//! The limits on the source files, and what the scheduler may depend on.
 
-use std::path::Path;
+use std::path::{Path, PathBuf};
+
+/// Most lines of a file of `src/scheduler` that are not blank.
+const MAX_SCHEDULER_LINES: usize = 260;
+/// Most columns of a line of `src/scheduler`.
+const MAX_SCHEDULER_COLUMNS: usize = 110;
+/// What the scheduler may not use, as time and everything else from outside come to it by its events: I/O, clocks, async
+/// runtimes, sources of randomness, and collections with a random order. Also `std::{`, which would hide some of them.
+const FORBIDDEN_IN_SCHEDULER: [&str; 25] = [
+    "std::{",
+    "std::env",
+    "std::fs",
+    "std::io",
+    "std::net",
+    "std::os",
+    "std::process",
+    "std::thread",
+    "std::time",
+    "tokio",
+    "tokio_rustls",
+    "hyper",
+    "hyper_util",
+    "rustls",
+    "async_std",
+    "smol",
+    "SystemTime",
+    "Instant",
+    "rand",
+    "fastrand",
+    "getrandom",
+    "RandomState",
+    "HashMap",
+    "HashSet",
+    "async",
+];
+
+fn root() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+/// The source files in a folder and the folders within it.
+fn source_files(folder: &Path) -> Vec<PathBuf> {
+    let mut files = Vec::new();
+    for entry in std::fs::read_dir(folder).expect("a folder of the sources") {
+        let path = entry.expect("an entry of the folder").path();
+        if path.is_dir() {
+            files.extend(source_files(&path));
+        } else {
+            files.push(path);
+        }
+    }
+    files.sort();
+    files
+}
+
+/// Whether a line of code uses a path or a name, which may be part of a longer path.
+fn uses(line: &str, path: &str) -> bool {
+    let is_identifier = |character: char| character.is_alphanumeric() || character == '_';
+    line.match_indices(path).any(|(start, _)| {
+        let before = line[..start].chars().next_back();
+        let after = line[start + path.len()..].chars().next();
+        let ends_within_name = path.ends_with(is_identifier) && after.is_some_and(is_identifier);
+        !before.is_some_and(is_identifier) && !ends_within_name
+    })
+}
+
+/// The lines of code that use something the scheduler may not use, each with its number.
+fn forbidden_uses(text: &str) -> Vec<String> {
+    let mut found = Vec::new();
+    for (index, line) in text.lines().enumerate() {
+        let code = line.split("//").next().unwrap_or_default();
+        let mut forbidden: Vec<_> =
+            FORBIDDEN_IN_SCHEDULER.into_iter().filter(|path| uses(code, path)).collect();
+        if code.replace("crate::scheduler", "").contains("crate::") {
+            forbidden.push("another module of the crate");
+        }
+        for path in forbidden {
+            found.push(format!("{path} in line {}: {}", index + 1, line.trim()));
+        }
+    }
+    found
+}
 
 #[test]
-fn the_module_keeps_its_size_and_width() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/scheduler");
+fn the_scheduler_keeps_its_size_and_width() {
     let mut files = 0;
-    for entry in std::fs::read_dir(folder).expect("the module's folder") {
-        let path = entry.expect("a file of the module").path();
+    for path in source_files(&root().join("src/scheduler")) {
         let text = std::fs::read_to_string(&path).expect("a text");
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= 260, "{lines} lines that are not blank in {}", path.display());
+        assert!(lines <= MAX_SCHEDULER_LINES, "{lines} lines that are not blank in {}", path.display());
         files += 1;
         let widest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
-        assert!(widest <= 110, "a line of {widest} columns in {}", path.display());
+        assert!(widest <= MAX_SCHEDULER_COLUMNS, "a line of {widest} columns in {}", path.display());
+    }
+    assert!(files > 1, "the scheduler is not where it was");
+}
+
+#[test]
+fn the_scheduler_does_no_io_and_reads_no_clock() {
+    let files = source_files(&root().join("src/scheduler"));
+    assert!(files.len() > 1, "the scheduler is not where it was");
+    for path in files {
+        let found = forbidden_uses(&std::fs::read_to_string(&path).expect("a text"));
+        assert!(found.is_empty(), "{}: {found:#?}", path.display());
+    }
+}
+
+#[test]
+fn forbidden_uses_are_found_in_every_form_of_import() {
+    for line in [
+        "use std::time::Duration;",
+        "use std::{collections::BTreeMap, time};",
+        "    let now = ::std::time::Instant::now();",
+        "use tokio::time;",
+        "pub(crate) use hyper as http;",
+        "use rand::Rng; // drawn from the system",
+        "use crate::clock::Clock;",
+    ] {
+        assert!(!forbidden_uses(line).is_empty(), "{line}");
+    }
+    for line in [
+        "use std::collections::BTreeMap;",
+        "use crate::scheduler::ids::Micros;",
+        "/// Not an Instant.",
+        "let operand = strand;",
+    ] {
+        assert_eq!(forbidden_uses(line), Vec::<String>::new(), "{line}");
     }
-    assert!(files > 1, "the module is not where it was");
 }
 
 #[test]
-fn the_deploy_file_names_every_file_of_the_module() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file");
-    for entry in std::fs::read_dir(root.join("src/scheduler")).expect("the module's folder") {
-        let name = entry.expect("a file of the module").file_name();
-        let named = format!("\"src/scheduler/{}\"", name.to_str().expect("a plain name"));
-        assert!(deploy.contains(&named), "no {named} in the deploy file");
+fn the_deploy_file_names_every_file_of_the_scheduler() {
+    let deploy = std::fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
+    for path in source_files(&root().join("src/scheduler")) {
+        let relative = path.strip_prefix(root()).expect("a file below the root");
+        let name = format!("\"{}\"", relative.to_str().expect("a plain name"));
+        assert!(deploy.contains(&name), "no {name} in the deploy file");
     }
 }
