--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,45 +1,45 @@
-//! Lists of targets as discovery writes them, read from a stream that may be cut anywhere.
+//! Endpoint lists as discovery publishes them, read from a stream that may be cut anywhere.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
-/// Longest list that is read, in bytes.
-const LIST_MOST: usize = 4 * 1024 * 1024;
+/// Longest list that is read, in bytes; the watch on a discovery service that sends more is lost.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// A list of targets, whole or only its changes.
+/// A list of endpoints as discovery publishes it: a snapshot, or a delta.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
     /// Grows with each change.
     pub version: u64,
-    /// Targets that it does not name are gone.
+    /// Whether endpoints that it does not name have been removed.
     #[serde(rename = "full")]
     pub snapshot: bool,
-    /// Its entries, in order.
+    /// Its records, in order.
     #[serde(rename = "servers")]
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// One entry; what cannot be read of it must not cost the others.
+/// One record of a list. An invalid record must not cost the others, so it is kept as far as it can be read.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum EndpointRecord {
-    /// Read whole.
-    Readable(DiscoveredEndpoint),
-    /// Its id alone could be read.
-    Unreadable {
-        /// The target's id.
+    /// Every field could be read.
+    Valid(DiscoveredEndpoint),
+    /// Only the id could be read.
+    Invalid {
+        /// The endpoint's id.
         id: String,
     },
-    /// Nothing of it could be read.
-    Nameless(IgnoredAny),
+    /// Not even an id could be read.
+    Unidentified(IgnoredAny),
 }
 
-/// A target as discovery tells it.
+/// An endpoint as discovery describes it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct DiscoveredEndpoint {
-    /// The same at every router.
+    /// Its name, the same for every replica.
     pub id: String,
     /// Where it listens.
     pub addr: SocketAddr,
@@ -50,51 +50,59 @@
     /// Its cell.
     #[serde(default)]
     pub cell: i64,
-    /// Whether it takes new work.
+    /// Whether it takes new requests.
     pub state: DiscoveryState,
     /// When it last started, in Unix milliseconds; 0 for long ago.
     #[serde(default)]
     pub started_ms: i64,
 }
 
-/// Whether a target takes new work.
+/// Whether an endpoint takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum DiscoveryState {
     /// It does.
     Ready,
-    /// It finishes what it has.
+    /// It finishes those that it has.
     Terminating,
-    /// It is gone; only among changes.
+    /// It has been removed; only deltas say so.
     Gone,
 }
 
-/// Why what came is no list.
+/// Why bytes are not an endpoint list.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// It is not in the form of a list.
+    /// The JSON is not that of a list.
     #[error("not a list: {0}")]
-    Form(#[from] serde_json::Error),
+    Format(#[from] serde_json::Error),
     /// Something other than a list stands between lists.
     #[error("not a list: it begins with byte {0}")]
-    Begin(u8),
-    /// It does not end.
-    #[error("a list of over {LIST_MOST} bytes")]
+    UnexpectedByte(u8),
+    /// It is longer than any list that is read.
+    #[error("a list of over {MAX_LIST_BYTES} bytes")]
     TooLong,
 }
 
-/// Takes lists out of a stream, however they are broken into lines and pieces. Each byte is looked at once until its
-/// list is whole, so that a long list in many pieces costs no more than one that comes at once.
+/// Reads lists from a stream, however it is cut into lines and chunks. Each byte is looked at once until its
+/// list is complete, so that a long list in many chunks costs no more than one that arrives at once.
 #[derive(Debug, Default)]
 pub struct ListReader {
+    /// The bytes so far of the list that has begun.
     text: Vec<u8>,
     /// Open braces and brackets of the list that has begun.
     depth: usize,
+    /// Whether the next byte belongs to a JSON string.
     in_string: bool,
+    /// Whether the byte before, in a JSON string, was a backslash that escapes the next one.
     escaped: bool,
 }
 
 impl ListReader {
-    /// Takes bytes in and gives the lists that are whole with them.
+    /// Reads the next bytes of the stream and gives the lists that they complete.
+    ///
+    /// # Errors
+    ///
+    /// Fails where a list is malformed or too long, or where something else stands between lists. The stream
+    /// cannot be read any further then.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<EndpointList>, ListError> {
         let mut lists = Vec::new();
         for &byte in bytes {
@@ -102,7 +110,7 @@
                 match byte {
                     b' ' | b'\t' | b'\r' | b'\n' => continue,
                     b'{' => {}
-                    other => return Err(ListError::Begin(other)),
+                    other => return Err(ListError::UnexpectedByte(other)),
                 }
             }
             self.text.push(byte);
@@ -110,26 +118,22 @@
             if self.depth == 0 {
                 lists.push(serde_json::from_slice(&self.text)?);
                 self.text.clear();
-            } else if self.text.len() > LIST_MOST {
+            } else if self.text.len() > MAX_LIST_BYTES {
                 return Err(ListError::TooLong);
             }
         }
         Ok(lists)
     }
 
-    /// Whether no list has begun that is not whole.
+    /// Whether no list has begun that is not complete.
     pub fn between_lists(&self) -> bool {
         self.depth == 0
     }
 
+    /// Follows the nesting of the JSON text.
     fn scan(&mut self, byte: u8) {
         if self.in_string {
-            match byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' => self.escaped = true,
-                b'"' => self.in_string = false,
-                _ => {}
-            }
+            self.scan_string(byte);
             return;
         }
         match byte {
@@ -139,4 +143,17 @@
             _ => {}
         }
     }
+
+    /// Follows a JSON string to its closing quote.
+    fn scan_string(&mut self, byte: u8) {
+        if self.escaped {
+            self.escaped = false;
+            return;
+        }
+        match byte {
+            b'\\' => self.escaped = true,
+            b'"' => self.in_string = false,
+            _ => {}
+        }
+    }
 }
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,216 +1,107 @@
-//! Following discovery: the whole list first, then a watch on what changes.
+//! Keeps a watch on discovery open: a snapshot where one is needed, then a stream of deltas, again after each
+//! loss.
 
-use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bytes::Bytes;
-use http_body_util::{BodyExt, Empty};
+use hyper::StatusCode;
 use hyper::body::Incoming;
-use hyper::client::conn::http1;
-use hyper::{Request, StatusCode};
-use hyper_util::rt::TokioIo;
-use tokio::net::TcpStream;
 use tokio::sync::watch;
-use tokio::time::{Instant, sleep, sleep_until, timeout};
-use xxhash_rust::xxh3::xxh3_64_with_seed;
+use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::clock::Clock;
 use crate::discovery::backoff::Backoff;
-use crate::discovery::endpoint_list::{
-    DiscoveredEndpoint, DiscoveryState, EndpointList, EndpointRecord, ListError, ListReader,
-};
-use crate::discovery::start_times::StartTimes;
-use crate::routing_context::RoutingContext;
-use crate::scheduler::*;
-use crate::simulator::SettingNames;
-use crate::upstream::connection_pool::EndpointAddress;
-
-/// Silence after which a watch is given up: an empty line is due every 2 s. What it should have told counts as told
-/// 6 s later, so a new watch must be there well before.
-const SILENCE: Duration = Duration::from_millis(3_200);
-/// The same where an agent of this router's own is asked, which a new call costs nothing: also a watch that takes the
-/// place of a silent one, and is silent too, is replaced within the 6 s.
-const AGENT_SILENCE: Duration = Duration::from_millis(2_600);
-/// For discovery to take a connection and to answer where it is asked. Calls wait in turn there and are told when they
-/// have waited too long: one that is given up sooner is still worked on, and the next only lengthens the queue.
-const ANSWER: Duration = Duration::from_secs(4);
-/// The same where an agent of this router's own is sent the list: it answers at once, or not before it is back.
-const AGENT_ANSWER: Duration = Duration::from_secs(1);
-/// Why a watch ended.
+use crate::discovery::client::{fetch_snapshot, next_chunk, open_watch};
+use crate::discovery::directory::EndpointDirectory;
+use crate::discovery::endpoint_list::{ListError, ListReader};
+use crate::scheduler::Settings;
+
+/// Silence after which a watch on a shared discovery service is lost; it sends an empty line every 2 s. An
+/// endpoint change must be applied within 6 s, so a new watch has to be open well before that.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(3_200);
+/// Silence after which a watch on an agent of this replica alone is lost. A new call costs the agent nothing,
+/// so this is short enough that even a second watch that stays silent is replaced within the 6 s for an
+/// endpoint change.
+const AGENT_WATCH_TIMEOUT: Duration = Duration::from_millis(2_600);
+/// For a shared discovery service to accept a call and to answer it. Calls queue there and are rejected once
+/// they have waited too long: work on a call that is abandoned earlier goes on, and the next call only
+/// lengthens the queue.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// For an agent of this replica alone to accept a call and to answer it: it answers at once, or not until it
+/// is back.
+const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Why a watch was lost.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// No connection.
+    /// No connection could be made.
     #[error("cannot connect: {0}")]
-    Connect(std::io::Error),
-    /// The exchange failed.
-    #[error("{0}")]
+    Connect(#[source] std::io::Error),
+    /// The HTTP exchange failed.
+    #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// Not the answer that is meant to come.
+    /// The response has a status other than 200.
     #[error("answered {0}")]
     Status(StatusCode),
-    /// What came is no list.
-    #[error("{0}")]
+    /// The body is not an endpoint list.
+    #[error(transparent)]
     List(#[from] ListError),
-    /// Nothing came for too long.
+    /// Nothing arrived before the timeout.
     #[error("silent")]
     Silent,
-    /// It ended.
+    /// Discovery ended the response.
     #[error("ended")]
     Ended,
 }
 
-/// The number of each target that is known, by its id.
-#[derive(Default)]
-struct EndpointIds {
-    by_name: HashMap<String, EndpointId>,
-    taken: HashSet<EndpointId>,
-}
-
-impl EndpointIds {
-    /// The same number for the same id at every router, whatever its order among the rest.
-    fn number(&mut self, name: &str) -> EndpointId {
-        if let Some(&endpoint) = self.by_name.get(name) {
-            return endpoint;
-        }
-        let mut numbers = (0..).map(|seed| EndpointId(xxh3_64_with_seed(name.as_bytes(), seed) as u32));
-        let endpoint = numbers.find(|number| !self.taken.contains(number)).unwrap_or_default();
-        self.taken.insert(endpoint);
-        self.by_name.insert(name.to_owned(), endpoint);
-        endpoint
-    }
-
-    /// Forgets all for which `known` is false.
-    fn retain(&mut self, known: impl Fn(EndpointId) -> bool) {
-        self.by_name.retain(|_, endpoint| known(*endpoint));
-        self.taken.retain(|endpoint| known(*endpoint));
-    }
+/// How one watch was lost.
+struct LostWatch {
+    error: WatchError,
+    /// From when on changes may have been missed; the delay before the next watch counts from here.
+    since: Instant,
 }
 
-/// Takes lists in for a fleet: endpoints to its planner, addresses to its pool.
-pub struct EndpointDirectory {
-    core: RoutingContext,
-    settings: Settings,
-    names: SettingNames,
-    starts: StartTimes,
-    /// When all that discovery had was last known; none before it has been heard.
-    heard: Option<Instant>,
-    ids: EndpointIds,
-    version: Option<u64>,
+/// The watch on discovery of one replica.
+pub struct EndpointWatch {
+    directory: EndpointDirectory,
     backoff: Backoff,
     /// For discovery to answer a call.
-    patience: Duration,
-    /// Without a line, after which a watch is given up.
-    silence: Duration,
+    response_timeout: Duration,
+    /// For the next line of an open watch to arrive.
+    watch_timeout: Duration,
+    /// Turns true once discovery has answered with what it knows.
+    notified: watch::Sender<bool>,
 }
 
-impl EndpointDirectory {
-    /// An empty directory.
+impl EndpointWatch {
+    /// A watch that is not open yet and will apply what it reads to the directory; `seed` is this replica's
+    /// own.
     pub fn new(
-        core: RoutingContext, settings: Settings, names: SettingNames, clock: Clock, seed: u64,
+        directory: EndpointDirectory, settings: &Settings, seed: u64, notified: watch::Sender<bool>,
     ) -> Self {
-        // An agent that is sent the list by itself answers at no cost; nobody else waits for it.
-        let (sharing, patience, silence) = match settings.watch_endpoint_list {
-            true => (settings.replicas, ANSWER, SILENCE),
-            false => (1, AGENT_ANSWER, AGENT_SILENCE),
-        };
-        let backoff = Backoff::new(sharing, seed);
-        let starts = StartTimes::new(clock);
-        let ids = EndpointIds::default();
-        EndpointDirectory {
-            core,
-            settings,
-            names,
-            starts,
-            heard: None,
-            ids,
-            version: None,
-            backoff,
-            patience,
-            silence,
-        }
-    }
-
-    /// Takes a list in at once: what drains or is gone must not wait.
-    pub fn apply(&mut self, list: &EndpointList) {
-        self.core.counters.lists.increment();
-        self.version = Some(list.version);
-        let members: Vec<_> =
-            list.endpoints.iter().filter_map(|entry| self.take_entry(list.snapshot, entry)).collect();
-        let gone: HashSet<_> =
-            members.iter().filter(|m| m.lifecycle == Lifecycle::Removed).map(|m| m.endpoint).collect();
-        let named: HashSet<_> =
-            members.iter().map(|m| m.endpoint).filter(|endpoint| !gone.contains(endpoint)).collect();
-        if list.snapshot || !gone.is_empty() {
-            let known = |endpoint: &EndpointId| {
-                if list.snapshot { named.contains(endpoint) } else { !gone.contains(endpoint) }
-            };
-            let pool = self.core.upstream.pool();
-            pool.endpoints()
-                .into_iter()
-                .filter(|endpoint| !known(endpoint))
-                .for_each(|endpoint| pool.set_address(endpoint, None));
-            self.ids.retain(|endpoint| known(&endpoint));
-            self.starts.retain(|endpoint| known(&endpoint));
-        }
-        self.core.scheduler.endpoints_changed(list.snapshot, members);
-    }
-
-    /// Takes one entry in. One that cannot be read tells nothing by which its target could be used.
-    fn take_entry(&mut self, full: bool, entry: &EndpointRecord) -> Option<EndpointUpdate> {
-        let id = match entry {
-            EndpointRecord::Readable(target) => match self.take_target(full, target) {
-                Some(member) => return Some(member),
-                None => &target.id,
-            },
-            EndpointRecord::Unreadable { id } => id,
-            EndpointRecord::Nameless(_) => {
-                tracing::warn!("endpoint record without an id ignored");
-                return None;
+        if settings.watch_endpoint_list {
+            EndpointWatch {
+                directory,
+                backoff: Backoff::new(settings.replicas, seed),
+                response_timeout: RESPONSE_TIMEOUT,
+                watch_timeout: WATCH_TIMEOUT,
+                notified,
+            }
+        } else {
+            // An agent that is sent the list serves this replica alone: no other one waits for its answers.
+            EndpointWatch {
+                directory,
+                backoff: Backoff::new(1, seed),
+                response_timeout: AGENT_RESPONSE_TIMEOUT,
+                watch_timeout: AGENT_WATCH_TIMEOUT,
+                notified,
             }
-        };
-        tracing::warn!(endpoint = %id, "endpoint record is invalid, endpoint taken as removed");
-        Some(EndpointUpdate {
-            endpoint: self.ids.number(id),
-            lifecycle: Lifecycle::Removed,
-            ..EndpointUpdate::default()
-        })
-    }
-
-    /// Takes a target in; none if its zone or kind is unknown.
-    fn take_target(&mut self, full: bool, target: &DiscoveredEndpoint) -> Option<EndpointUpdate> {
-        let zone = self.names.zones.iter().position(|zone| *zone == target.zone)?;
-        let kind = self.names.kinds.iter().position(|kind| *kind == target.kind)?;
-        let endpoint = self.ids.number(&target.id);
-        let phase = match target.state {
-            DiscoveryState::Ready => Lifecycle::Ready,
-            DiscoveryState::Terminating => Lifecycle::Draining,
-            DiscoveryState::Gone => Lifecycle::Removed,
-        };
-        if !full {
-            tracing::info!(endpoint = %target.id, state = ?target.state, "endpoint state changed");
         }
-        let (role, ready) = (self.settings.kinds[kind].role, phase == Lifecycle::Ready);
-        let site = EndpointAddress { addr: target.addr, role, ready };
-        self.core.upstream.pool().set_address(endpoint, Some(site).filter(|_| phase != Lifecycle::Removed));
-        Some(EndpointUpdate {
-            endpoint,
-            zone: ZoneId(zone),
-            cell: CellId(target.cell),
-            kind: KindId(kind),
-            lifecycle: phase,
-            started_at: self.starts.resolve(
-                endpoint,
-                target.started_ms,
-                self.heard.map(|heard| heard.elapsed()),
-            ),
-        })
     }
 
-    /// Follows discovery for ever, wherever it is; `told` turns true when it has answered first. At a new address
-    /// the whole list is asked for again: its versions may not go on from the old one's.
-    pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>, told: watch::Sender<bool>) {
-        if self.version.is_some() {
+    /// Watches discovery for ever, at whatever address it has. A new address takes effect at once, and the
+    /// watch there begins with a snapshot.
+    pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
+        if self.directory.version().is_some() {
             tokio::select! {
                 () = sleep(self.backoff.initial_delay()) => {}
                 Ok(()) = address.changed() => address.mark_changed(),
@@ -219,103 +110,93 @@
         loop {
             if address.has_changed().unwrap_or(false) {
                 tracing::info!(address = %*address.borrow(), "discovery moved");
-                self.version = None;
+                self.directory.forget_version();
             }
-            let addr = *address.borrow_and_update();
-            self.core.counters.watches.increment();
-            let mut since = Instant::now();
-            let again;
+            let current = *address.borrow_and_update();
+            let retry_at;
             tokio::select! {
-                ended = self.watch(addr, &told, &mut since) => {
-                    let ended = ended.err().unwrap_or(WatchError::Ended);
-                    self.core.scheduler.watch_failed();
-                    again = since + self.backoff.next_delay();
-                    let wait = again.saturating_duration_since(Instant::now());
-                    tracing::warn!(reason = %ended, retry_in_ms = wait.as_millis(), "watch lost");
-                }
+                lost = self.watch_until_lost(current) => retry_at = self.schedule_retry(&lost),
                 Ok(()) = address.changed() => {
                     address.mark_changed();
                     continue;
                 }
             }
             tokio::select! {
-                () = sleep_until(again) => {}
+                () = sleep_until(retry_at) => {}
                 Ok(()) = address.changed() => address.mark_changed(),
             }
         }
     }
 
-    /// One watch, to its end; `since` is set to that end, or to when it was last heard if it fell silent: what it
-    /// missed from then on is as good as told.
-    async fn watch(
-        &mut self, addr: SocketAddr, told: &watch::Sender<bool>, since: &mut Instant,
-    ) -> Result<(), WatchError> {
-        // The list that came with the configuration may be old, and the watch begins with what it has missed. A whole
-        // list costs discovery work by the line: a fleet that starts together and asks for it keeps all from hearing.
-        let version = match self.version {
+    /// Reports a lost watch and gives the time of the next one.
+    fn schedule_retry(&mut self, lost: &LostWatch) -> Instant {
+        self.directory.context().scheduler.watch_failed();
+        let retry_at = lost.since + self.backoff.next_delay();
+        let wait = retry_at.saturating_duration_since(Instant::now());
+        tracing::warn!(reason = %lost.error, retry_in_ms = wait.as_millis(), "watch lost");
+        retry_at
+    }
+
+    /// Opens one watch and applies what it brings until it is lost.
+    async fn watch_until_lost(&mut self, address: SocketAddr) -> LostWatch {
+        self.directory.context().counters.watches.increment();
+        let started_at = Instant::now();
+        match self.open(address).await {
+            Ok(body) => self.apply_deltas(body, started_at).await,
+            Err(error) => LostWatch { error, since: started_at },
+        }
+    }
+
+    /// Opens a watch, after a snapshot if no list has been applied yet. The list that came with the
+    /// configuration will do, although it may be old: the watch begins with what it has missed. Discovery's
+    /// work for a snapshot grows with the number of endpoints, so a fleet that started together and fetched
+    /// one each would overload it.
+    async fn open(&mut self, address: SocketAddr) -> Result<Incoming, WatchError> {
+        let version = match self.directory.version() {
             Some(version) => version,
             None => {
-                let mut body = get(addr, "/api/targets", self.patience).await?;
-                let list = whole_list(&mut body, self.patience).await?;
-                self.apply(&list);
-                self.heard = Some(Instant::now());
-                told.send_replace(true);
-                list.version
+                let snapshot = fetch_snapshot(address, self.response_timeout).await?;
+                self.directory.apply(&snapshot);
+                self.mark_current(Instant::now());
+                snapshot.version
             }
         };
-        let mut body = get(addr, &format!("/api/targets?follow=1&since={version}"), self.patience).await?;
-        let (mut reader, mut heard) = (ListReader::default(), Instant::now());
-        while let Some(part) = piece(&mut body, self.silence).await.inspect_err(|error| {
-            *since = if matches!(error, WatchError::Silent) { heard } else { Instant::now() };
-        })? {
-            heard = Instant::now();
+        open_watch(address, version, self.response_timeout).await
+    }
+
+    /// Applies the lists of an open watch until it is lost. A watch that falls silent is taken as lost since
+    /// the last thing that arrived on it.
+    async fn apply_deltas(&mut self, mut body: Incoming, started_at: Instant) -> LostWatch {
+        let mut reader = ListReader::default();
+        let mut last_chunk_at = Instant::now();
+        loop {
+            let chunk = match next_chunk(&mut body, self.watch_timeout).await {
+                Ok(Some(chunk)) => chunk,
+                Ok(None) => return LostWatch { error: WatchError::Ended, since: Instant::now() },
+                Err(WatchError::Silent) => {
+                    return LostWatch { error: WatchError::Silent, since: last_chunk_at };
+                }
+                Err(error) => return LostWatch { error, since: Instant::now() },
+            };
+            last_chunk_at = Instant::now();
             self.backoff.reset();
-            for list in reader.push(&part)? {
-                self.apply(&list);
+            let lists = match reader.push(&chunk) {
+                Ok(lists) => lists,
+                Err(error) => return LostWatch { error: error.into(), since: started_at },
+            };
+            for list in &lists {
+                self.directory.apply(list);
             }
-            // A list that has only begun has told nothing.
+            // A list that has only begun says nothing yet.
             if reader.between_lists() {
-                self.heard = Some(heard);
-                told.send_replace(true);
+                self.mark_current(last_chunk_at);
             }
         }
-        *since = Instant::now();
-        Ok(())
-    }
-}
-
-/// Reads an answer that holds one list.
-async fn whole_list(body: &mut Incoming, patience: Duration) -> Result<EndpointList, WatchError> {
-    let mut reader = ListReader::default();
-    while let Some(part) = piece(body, patience).await? {
-        if let Some(list) = reader.push(&part)?.pop() {
-            return Ok(list);
-        }
     }
-    Err(WatchError::Ended)
-}
-
-async fn get(addr: SocketAddr, path: &str, within: Duration) -> Result<Incoming, WatchError> {
-    let exchange = async {
-        let socket = TcpStream::connect(addr).await.map_err(WatchError::Connect)?;
-        let (mut sender, connection) = http1::handshake(TokioIo::new(socket)).await?;
-        // It ends with the answer's body, or when that is dropped.
-        tokio::task::spawn_local(connection);
-        let request = Request::get(path).header("host", addr.to_string()).body(Empty::<Bytes>::new());
-        let Ok(request) = request else { return Err(WatchError::Ended) };
-        let answer = sender.send_request(request).await?;
-        match answer.status() {
-            StatusCode::OK => Ok(answer.into_body()),
-            other => Err(WatchError::Status(other)),
-        }
-    };
-    timeout(within, exchange).await.unwrap_or(Err(WatchError::Silent))
-}
 
-async fn piece(body: &mut Incoming, within: Duration) -> Result<Option<Bytes>, WatchError> {
-    match timeout(within, body.frame()).await {
-        Err(_) => Err(WatchError::Silent),
-        Ok(None) => Ok(None),
-        Ok(Some(frame)) => Ok(Some(frame?.into_data().unwrap_or_default())),
+    /// Records that everything that discovery had published at that time has been applied.
+    fn mark_current(&mut self, at: Instant) {
+        self.directory.mark_current(at);
+        self.notified.send_replace(true);
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,8 @@
 use inference_router::clock::{Clock, duration_from_micros};
 use inference_router::config::reload;
 use inference_router::config::{ChatConfig, ConfigError, PlatformConfig};
-use inference_router::discovery::watch::EndpointDirectory;
+use inference_router::discovery::directory::EndpointDirectory;
+use inference_router::discovery::watch::EndpointWatch;
 use inference_router::metrics::Counters;
 use inference_router::routing_context::{RoutingContext, run_fleet_commands};
 use inference_router::scheduler::{EndpointId, EndpointUpdate, Role};
@@ -96,14 +97,14 @@
     spawn_local(run_fleet_commands(core.clone(), orders));
     spawn_local(async move { pool.run_idle_eviction().await });
 
-    let mut directory =
-        EndpointDirectory::new(core.clone(), config.settings, config.names.clone(), clock, config.seed);
+    let mut directory = EndpointDirectory::new(core.clone(), &config.settings, config.names.clone(), clock);
     if let Some(known) = &config.known {
         directory.apply(known);
     }
     let (told, heard) = watch::channel(false);
     let (ready, is_ready) = watch::channel(false);
-    spawn_local(directory.run(address, told));
+    let endpoint_watch = EndpointWatch::new(directory, &config.settings, config.seed, told);
+    spawn_local(endpoint_watch.run(address));
     let known = config.known.is_some();
     spawn_local(async move {
         let mut heard = heard;
