--- /dev/null
+++ b/src/config/chat.rs
@@ -0,0 +1,266 @@
+//! The chat API's configuration, as its operator writes it: TOML, named by `--chat`.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::Path;
+
+use hyper::header::{HeaderMap, HeaderName, HeaderValue};
+use serde::Deserialize;
+
+use crate::config::error::{ChatConfigError, ConfigError};
+use crate::config::pool::{default_connect_timeout_ms, default_idle_close_ms, pool_limits};
+use crate::scheduler::{
+    Capabilities, ClassId, EndpointKind, Idempotency, Micros, RequestClass, Role, Settings,
+};
+use crate::server::spiffe::{IdentityVerifier, TlsSettings};
+use crate::upstream::connection_pool::PoolLimits;
+
+/// Most connections to clients, and most to endpoints, whatever the file allows.
+const MAX_CONNECTIONS: usize = 4_096;
+/// Most bytes of request bodies held at once.
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
+/// Longest duration that a setting can give, in milliseconds: one day.
+const MAX_DURATION_MS: f64 = 86_400_000.0;
+
+/// The chat API's configuration.
+pub struct ChatConfig {
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// The endpoints, which stay the same until the process ends.
+    pub endpoints: Vec<ChatEndpoint>,
+    /// The class of each model.
+    pub models: BTreeMap<String, ClassId>,
+    /// The scheduler's settings.
+    pub settings: Settings,
+    /// Most tokens generated for a request that does not limit them.
+    pub default_max_tokens: u32,
+    /// Headers added to each request to an endpoint.
+    pub endpoint_headers: HeaderMap,
+    /// How connections to endpoints are kept.
+    pub pool: PoolLimits,
+    /// Most connections from clients at once.
+    pub max_clients: usize,
+    /// Most bytes of request bodies held at once.
+    pub max_body_bytes: usize,
+    /// Verifies the clients' identities, where they must prove them.
+    pub tls: Option<IdentityVerifier>,
+}
+
+/// An endpoint of the chat API.
+#[derive(Clone, Debug)]
+pub struct ChatEndpoint {
+    /// Its name.
+    pub name: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
+/// The file. Error messages show the names of its fields and of the types that make it up.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ChatFile {
+    listen: SocketAddr,
+    #[serde(default = "default_max_tokens")]
+    default_max_tokens: u32,
+    #[serde(default = "default_max_attempts")]
+    max_attempts: u32,
+    #[serde(default = "default_connect_timeout_ms")]
+    connect_timeout_ms: f64,
+    #[serde(default = "default_idle_close_ms")]
+    idle_close_ms: f64,
+    #[serde(default = "default_retry_after_ms")]
+    retry_after_ms: f64,
+    #[serde(default = "default_connections")]
+    client_connections: usize,
+    #[serde(rename = "server_connections", default = "default_connections")]
+    endpoint_connections: usize,
+    #[serde(rename = "servers")]
+    endpoints: Vec<ChatServer>,
+    classes: Vec<ChatClass>,
+    models: BTreeMap<String, String>,
+    #[serde(rename = "server_headers", default)]
+    endpoint_headers: BTreeMap<String, String>,
+    tls: Option<TlsSettings>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ChatServer {
+    name: String,
+    address: SocketAddr,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ChatClass {
+    name: String,
+    #[serde(rename = "effect")]
+    idempotency: ChatEffect,
+    first_token_ms: f64,
+    #[serde(default)]
+    first_token_ms_per_1000: f64,
+    deadline_ms: f64,
+    token_ms: f64,
+    #[serde(rename = "worth", default = "default_priority_weight")]
+    priority_weight: f64,
+}
+
+#[derive(Deserialize)]
+enum ChatEffect {
+    #[serde(rename = "safe")]
+    Idempotent,
+    #[serde(rename = "unsafe")]
+    NonIdempotent,
+}
+
+fn default_max_tokens() -> u32 {
+    800
+}
+
+fn default_max_attempts() -> u32 {
+    4
+}
+
+fn default_retry_after_ms() -> f64 {
+    2_000.0
+}
+
+fn default_connections() -> usize {
+    128
+}
+
+fn default_priority_weight() -> f64 {
+    1.0
+}
+
+impl ChatConfig {
+    /// Reads the operator's file.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the file or an identity file cannot be read or is invalid.
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
+        let base = path.parent().unwrap_or(Path::new(""));
+        Self::parse(&text, base).map_err(|source| ConfigError::Chat { path: path.to_owned(), source })
+    }
+
+    fn parse(text: &str, base: &Path) -> Result<Self, ChatConfigError> {
+        let file: ChatFile = toml::from_str(text)?;
+        file.check()?;
+        let classes = file.classes.iter().map(ChatClass::request_class).collect::<Result<Vec<_>, _>>()?;
+        let models = file.class_by_model()?;
+        let endpoint_headers = file.header_map()?;
+        let settings = file.settings(classes)?;
+        let tls = file.tls.map(|tls| IdentityVerifier::read(tls, base)).transpose()?;
+        Ok(ChatConfig {
+            listen: file.listen,
+            endpoints: file.endpoints.into_iter().map(ChatEndpoint::from).collect(),
+            models,
+            settings,
+            default_max_tokens: file.default_max_tokens,
+            endpoint_headers,
+            pool: pool_limits(
+                file.connect_timeout_ms,
+                file.idle_close_ms,
+                file.endpoint_connections.clamp(1, MAX_CONNECTIONS),
+            ),
+            max_clients: file.client_connections.clamp(1, MAX_CONNECTIONS),
+            max_body_bytes: MAX_BODY_BYTES,
+            tls,
+        })
+    }
+}
+
+impl From<ChatServer> for ChatEndpoint {
+    fn from(endpoint: ChatServer) -> Self {
+        ChatEndpoint { name: endpoint.name, address: endpoint.address }
+    }
+}
+
+impl ChatFile {
+    /// Checks what the format alone does not say.
+    fn check(&self) -> Result<(), ChatConfigError> {
+        if self.endpoints.is_empty() {
+            return Err(ChatConfigError::NoEndpoints);
+        }
+        if self.models.is_empty() {
+            return Err(ChatConfigError::NoModels);
+        }
+        if !(1..=100).contains(&self.max_attempts) {
+            return Err(ChatConfigError::MaxAttempts);
+        }
+        Ok(())
+    }
+
+    fn class_by_model(&self) -> Result<BTreeMap<String, ClassId>, ChatConfigError> {
+        let mut by_model = BTreeMap::new();
+        for (model, class) in &self.models {
+            let index = self.classes.iter().position(|known| known.name == *class).ok_or_else(|| {
+                ChatConfigError::UnknownClass { model: model.clone(), class: class.clone() }
+            })?;
+            by_model.insert(model.clone(), ClassId(index));
+        }
+        Ok(by_model)
+    }
+
+    fn header_map(&self) -> Result<HeaderMap, ChatConfigError> {
+        let mut headers = HeaderMap::new();
+        for (name, value) in &self.endpoint_headers {
+            let (Ok(header_name), Ok(header_value)) =
+                (HeaderName::from_bytes(name.as_bytes()), HeaderValue::from_str(value))
+            else {
+                return Err(ChatConfigError::InvalidHeader { name: name.clone() });
+            };
+            headers.insert(header_name, header_value);
+        }
+        Ok(headers)
+    }
+
+    /// The scheduler's settings: one router, and endpoints that do both prefill and decode.
+    fn settings(&self, classes: Vec<RequestClass>) -> Result<Settings, ChatConfigError> {
+        Ok(Settings {
+            replicas: 1,
+            kinds: vec![EndpointKind { role: Role::Mixed, memory_tokens: None }],
+            classes,
+            capabilities: Capabilities {
+                cancellation: true,
+                max_attempts: self.max_attempts,
+                max_retry_after: Some(micros(self.retry_after_ms, || "retry_after_ms".to_owned())?),
+                ..Capabilities::default()
+            },
+            ..Settings::default()
+        })
+    }
+}
+
+impl ChatClass {
+    fn request_class(&self) -> Result<RequestClass, ChatConfigError> {
+        let duration =
+            |milliseconds: f64, key: &str| micros(milliseconds, || format!("class \"{}\": {key}", self.name));
+        Ok(RequestClass {
+            first_token_objective: duration(self.first_token_ms, "first_token_ms")?,
+            objective_per_1000_prompt_tokens: duration(
+                self.first_token_ms_per_1000,
+                "first_token_ms_per_1000",
+            )?,
+            deadline: duration(self.deadline_ms, "deadline_ms")?,
+            inter_token_objective: duration(self.token_ms, "token_ms")?.max(1),
+            priority_weight: self.priority_weight,
+            late_weight: 0.0,
+            idempotency: match self.idempotency {
+                ChatEffect::Idempotent => Idempotency::Idempotent,
+                ChatEffect::NonIdempotent => Idempotency::NonIdempotent,
+            },
+        })
+    }
+}
+
+/// A duration of the file in microseconds; `setting` names it in the error.
+fn micros(milliseconds: f64, setting: impl FnOnce() -> String) -> Result<Micros, ChatConfigError> {
+    if !(0.0..=MAX_DURATION_MS).contains(&milliseconds) {
+        return Err(ChatConfigError::DurationOutOfRange { setting: setting(), milliseconds });
+    }
+    Ok((milliseconds * 1_000.0) as Micros)
+}
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,7 +1,9 @@
-//! Replaced configuration, taken in without a restart at each SIGHUP.
+//! Reads the platform's configuration again at each SIGHUP, without a restart.
 
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
+use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -11,28 +13,35 @@
 use crate::config::{ConfigError, PlatformConfig};
 use crate::metrics::Counters;
 
-/// For a configuration that cannot be used to become whole. What a moved discovery has to tell counts as told 4 s after
-/// the signal.
-const REPLACED_WITHIN: Duration = Duration::from_secs(3);
-/// Between reads of a configuration that cannot be used.
-const READ_AGAIN: Duration = Duration::from_millis(100);
+/// For a configuration that cannot be used to become complete: it may still be written. Changes that a moved
+/// discovery service has must be applied within 4 s of the signal.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// From one read of a configuration that cannot be used to the next.
+const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// SIGHUP from now on: it no longer ends the process, even before anybody listens.
-pub fn hangups() -> std::io::Result<Signal> {
+/// Registers for SIGHUP. From now on it no longer ends the process, even before the first one is received.
+///
+/// # Errors
+///
+/// Fails where the system refuses to register the signal.
+pub fn hangups() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Reads the platform's configuration again at each SIGHUP, for ever, and tells where discovery now answers. A file
-/// that cannot be used changes nothing.
-pub async fn follow(
-    mut hangups: Signal, path: PathBuf, discovery: watch::Sender<SocketAddr>, counters: std::rc::Rc<Counters>,
+/// Reads the platform's configuration again at each SIGHUP, for ever, and publishes the address of discovery.
+/// A file that cannot be used changes nothing.
+pub async fn reload_on_hangup(
+    mut hangups: Signal, path: PathBuf, discovery: watch::Sender<SocketAddr>, counters: Rc<Counters>,
 ) {
     while hangups.recv().await.is_some() {
         match read_replaced(&path).await {
             Ok(config) => {
                 counters.reloads.increment();
-                tracing::info!(discovery = %config.discovery, "configuration reloaded; all but the discovery address needs a restart");
-                discovery.send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
+                tracing::info!(
+                    discovery = %config.discovery,
+                    "configuration reloaded; all but the discovery address needs a restart"
+                );
+                publish_if_changed(&discovery, config.discovery);
             }
             Err(error) => {
                 counters.reloads_failed.increment();
@@ -42,23 +51,32 @@
     }
 }
 
+/// Logs each SIGHUP, for ever: without the platform API there is nothing to read again.
+pub async fn ignore_hangups(mut hangups: Signal) {
+    while hangups.recv().await.is_some() {
+        tracing::warn!("SIGHUP ignored: the chat API reads its configuration at the start only");
+    }
+}
+
 /// Reads a configuration that may still be written, or that the system fails to open for a moment.
 async fn read_replaced(path: &Path) -> Result<PlatformConfig, ConfigError> {
-    let until = Instant::now() + REPLACED_WITHIN;
+    let give_up_at = Instant::now() + RELOAD_TIMEOUT;
     loop {
         match PlatformConfig::read(path) {
-            Err(error) if Instant::now() < until => {
-                tracing::warn!(%error, retry_in_ms = READ_AGAIN.as_millis(), "configuration not readable yet");
-                sleep(READ_AGAIN).await;
+            Err(error) if Instant::now() < give_up_at => {
+                let retry_in_ms = RELOAD_RETRY_DELAY.as_millis();
+                tracing::warn!(%error, retry_in_ms, "configuration not readable yet");
+                sleep(RELOAD_RETRY_DELAY).await;
             }
-            read => return read,
+            result => return result,
         }
     }
 }
 
-/// Without the platform's front nothing is read again; SIGHUP is logged, for ever.
-pub async fn refuse(mut hangups: Signal) {
-    while hangups.recv().await.is_some() {
-        tracing::warn!("SIGHUP ignored: the chat API reads its configuration at the start only");
-    }
+fn publish_if_changed(discovery: &watch::Sender<SocketAddr>, address: SocketAddr) {
+    discovery.send_if_modified(|current| {
+        let is_new = *current != address;
+        *current = address;
+        is_new
+    });
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -46,6 +46,8 @@
     Listen(SocketAddr, std::io::Error),
     #[error("{0}")]
     Io(#[from] std::io::Error),
+    #[error("nothing to do: set LB_CONFIG for the platform's front or --chat FILE for the chat front")]
+    NothingToDo,
     #[error("usage: inference-router [--chat FILE]")]
     Usage,
 }
@@ -71,7 +73,7 @@
     let until = Instant::now() + START_RETRIES;
     loop {
         match read() {
-            Err(error) if error.may_pass() && Instant::now() < until => {
+            Err(error) if error.is_transient() && Instant::now() < until => {
                 tracing::warn!(%error, "configuration not readable yet");
                 sleep(START_RETRY_WAIT).await;
             }
@@ -91,21 +93,21 @@
         Rc::new(Upstream::new(pool.clone(), UpstreamProtocol::Platform, counters.clone(), held_most));
     let (discovery, address) = watch::channel(config.discovery);
     let (hangups, path) = replaced;
-    spawn_local(reload::follow(hangups, path, discovery, counters.clone()));
+    spawn_local(reload::reload_on_hangup(hangups, path, discovery, counters.clone()));
     let limits = config.settings.capabilities.clone();
     let core = RoutingContext { scheduler: planner, upstream, counters };
     spawn_local(run_fleet_commands(core.clone(), orders));
     spawn_local(async move { pool.run_idle_eviction().await });
 
     let mut directory = EndpointDirectory::new(core.clone(), &config.settings, config.names.clone(), clock);
-    if let Some(known) = &config.known {
+    if let Some(known) = &config.known_endpoints {
         directory.apply(known);
     }
     let (told, heard) = watch::channel(false);
     let (ready, is_ready) = watch::channel(false);
     let endpoint_watch = EndpointWatch::new(directory, &config.settings, config.seed, told);
     spawn_local(endpoint_watch.run(address));
-    let known = config.known.is_some();
+    let known = config.known_endpoints.is_some();
     spawn_local(async move {
         let mut heard = heard;
         let in_time = tokio::time::timeout(DISCOVERY_WAIT, heard.wait_for(|told| *told)).await.is_ok();
@@ -115,7 +117,7 @@
         tracing::info!(endpoint_list = if in_time { "discovery" } else { "configuration" }, "ready");
         ready.send_replace(true);
     });
-    let intake = ConnectionLimiter::new(config.max_clients, config.body_bytes);
+    let intake = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
     let front = PlatformApi::new(core, (config.names, limits), intake.clone(), is_ready, shutdown.clone());
     // Last: from now on clients connect, and their time runs.
     let listener = listen(config.listen).await?;
@@ -130,21 +132,24 @@
     let seed = clock.now() as u64 ^ u64::from(std::process::id()) << 48;
     let pool = Rc::new(ConnectionPool::new(config.pool.clone(), counters.clone()));
     let (planner, orders) = SchedulerHandle::start(config.settings.clone(), seed, clock);
-    let protocol = UpstreamProtocol::Chat(std::mem::take(&mut config.server_headers));
+    let protocol = UpstreamProtocol::Chat(std::mem::take(&mut config.endpoint_headers));
     let upstream = Rc::new(Upstream::new(pool.clone(), protocol, counters.clone(), Duration::ZERO));
     let core = RoutingContext { scheduler: planner, upstream, counters };
     spawn_local(run_fleet_commands(core.clone(), orders));
     let swept = pool.clone();
     spawn_local(async move { swept.run_idle_eviction().await });
     let mut members = Vec::new();
-    for (number, (_, addr)) in config.servers.iter().enumerate() {
+    for (number, server) in config.endpoints.iter().enumerate() {
         let endpoint = EndpointId(number as u32);
-        pool.set_address(endpoint, Some(EndpointAddress { addr: *addr, role: Role::Mixed, ready: true }));
+        pool.set_address(
+            endpoint,
+            Some(EndpointAddress { addr: server.address, role: Role::Mixed, ready: true }),
+        );
         members.push(EndpointUpdate { endpoint, ..EndpointUpdate::default() });
     }
     core.scheduler.endpoints_changed(true, members);
     let (address, tls) = (config.listen, config.tls.take());
-    let intake = ConnectionLimiter::new(config.max_clients, config.body_bytes);
+    let intake = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
     let front = ChatApi::new(core, Rc::new(config), intake.clone(), shutdown.clone(), seed);
     let listener = listen(address).await?;
     spawn_local(serve(listener, tls, intake, shutdown.clone(), move |peer| front.for_peer(peer)));
@@ -176,7 +181,7 @@
         None => None,
     };
     if platform.is_none() && chat.is_none() {
-        return Err(ConfigError::Nothing.into());
+        return Err(StartError::NothingToDo);
     }
     let mut counted = Vec::new();
     if let Some((mut config, path)) = platform {
@@ -185,7 +190,7 @@
         counted.push(("platform", counters.clone()));
         start_platform(config, clock, counters, shutdown, (hangups, path)).await?;
     } else {
-        spawn_local(reload::refuse(hangups));
+        spawn_local(reload::ignore_hangups(hangups));
     }
     if let Some(config) = chat {
         let counters = Rc::new(Counters::default());
