--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! A router that pairs prefill endpoints with decode endpoints of a language model.
 //!
-//! [`scheduler`] makes every decision and does no I/O. The other modules carry its decisions out: [`server`] reads
-//! requests, [`request`] runs each request's task, [`upstream`] talks to endpoints, [`discovery`] watches the endpoint
-//! list, and [`config`] reads the configuration. [`simulator`] lets a simulator drive the same decisions.
+//! [`scheduler`] makes every decision and does no I/O. The other modules carry its decisions out: [`server`]
+//! reads requests, [`request`] runs each request's task, [`upstream`] talks to endpoints, [`discovery`]
+//! watches the endpoint list, and [`config`] reads the configuration. [`simulator`] lets a simulator drive
+//! the same decisions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- /dev/null
+++ b/src/startup.rs
@@ -0,0 +1,292 @@
+//! What starts, in which order. The listeners come last: from then on clients connect, and their time runs.
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use inference_router::clock::{Clock, duration_from_micros};
+use inference_router::config::reload::{hangups, ignore_hangups, reload_on_hangup};
+use inference_router::config::{ChatConfig, ConfigError, PlatformConfig};
+use inference_router::discovery::directory::EndpointDirectory;
+use inference_router::discovery::watch::EndpointWatch;
+use inference_router::metrics::Counters;
+use inference_router::routing_context::{RoutingContext, run_fleet_commands};
+use inference_router::scheduler::{EndpointId, EndpointUpdate, Role, Settings};
+use inference_router::scheduler_handle::{FleetCommand, SchedulerHandle};
+use inference_router::server::chat_api::ChatApi;
+use inference_router::server::connection_limits::ConnectionLimiter;
+use inference_router::server::platform_api::PlatformApi;
+use inference_router::server::serve;
+use inference_router::shutdown::{Shutdown, TerminationSignals};
+use inference_router::upstream::connection_pool::{ConnectionPool, EndpointAddress};
+use inference_router::upstream::exchange::{Upstream, UpstreamProtocol};
+use tokio::net::TcpListener;
+use tokio::signal::unix::Signal;
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep, timeout};
+
+/// How long a start waits for discovery before the router is ready with the endpoint list of its
+/// configuration, which may be old.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a start repeats what the system refuses to do; a start may take 30 s in all.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
+/// From one try of what the system refuses to do to the next.
+const START_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// Why the router cannot start.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum StartError {
+    /// A configuration cannot be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// There is no configuration at all.
+    #[error("nothing to do: set LB_CONFIG for the platform's front or --chat FILE for the chat front")]
+    NothingToDo,
+    /// The system refuses an address to listen on.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// Why it is refused.
+        source: io::Error,
+    },
+    /// The system refuses to register a signal.
+    #[error(transparent)]
+    Signals(#[from] io::Error),
+}
+
+/// Where the configuration of each API is; none where the API is not served.
+pub(crate) struct ConfigPaths {
+    /// Of the platform API.
+    pub(crate) platform: Option<PathBuf>,
+    /// Of the chat API.
+    pub(crate) chat: Option<PathBuf>,
+}
+
+/// The platform API's configuration, and the file in which it may be replaced.
+struct PlatformSource {
+    config: PlatformConfig,
+    path: PathBuf,
+}
+
+/// What the APIs of one process share.
+struct Process {
+    clock: Clock,
+    shutdown: Shutdown,
+}
+
+/// One API that has started, and what it counts.
+struct RunningApi {
+    /// Its name in the log.
+    name: &'static str,
+    counters: Rc<Counters>,
+}
+
+/// Starts the router and runs it until it is asked to end and all is finished.
+pub(crate) async fn run(paths: &ConfigPaths) -> Result<(), StartError> {
+    let clock = Clock::start();
+    let hangup_signals = hangups()?;
+    let mut termination_signals = TerminationSignals::listen()?;
+    let process = Process { clock, shutdown: Shutdown::default() };
+    let apis = tokio::select! {
+        started = start(paths, &process, hangup_signals) => started?,
+        () = termination_signals.received() => {
+            tracing::info!("shutdown requested before the start was complete");
+            return Ok(());
+        }
+    };
+    for api in &apis {
+        spawn_local(api.counters.clone().log_periodically(api.name));
+    }
+    process.shutdown.run(termination_signals).await;
+    for api in &apis {
+        tracing::info!(api = api.name, counters = %api.counters.to_json(), "final counters");
+    }
+    Ok(())
+}
+
+/// Reads all configurations, then starts an API for each.
+async fn start(
+    paths: &ConfigPaths, process: &Process, hangup_signals: Signal,
+) -> Result<Vec<RunningApi>, StartError> {
+    let chat = match &paths.chat {
+        Some(path) => Some(read_config(|| ChatConfig::read(path)).await?),
+        None => None,
+    };
+    let platform = match &paths.platform {
+        Some(path) => Some(read_platform_config(path, chat.as_ref()).await?),
+        None => None,
+    };
+    if platform.is_none() && chat.is_none() {
+        return Err(StartError::NothingToDo);
+    }
+    let mut apis = Vec::new();
+    match platform {
+        Some(source) => apis.push(start_platform_api(source, process, hangup_signals).await?),
+        None => {
+            spawn_local(ignore_hangups(hangup_signals));
+        }
+    }
+    if let Some(config) = chat {
+        apis.push(start_chat_api(config, process).await?);
+    }
+    Ok(apis)
+}
+
+/// Reads the platform's configuration and leaves it the sockets that the chat API does not use.
+async fn read_platform_config(path: &Path, chat: Option<&ChatConfig>) -> Result<PlatformSource, StartError> {
+    let mut config = read_config(|| PlatformConfig::read(path)).await?;
+    let chat_sockets = chat.map_or(0, |chat| chat.max_clients + chat.pool.max_connections);
+    config.reserve_sockets(chat_sockets);
+    Ok(PlatformSource { config, path: path.to_owned() })
+}
+
+/// Starts the platform API: routing, reloads, the watch on discovery, and at last the listener.
+async fn start_platform_api(
+    source: PlatformSource, process: &Process, hangup_signals: Signal,
+) -> Result<RunningApi, StartError> {
+    let PlatformSource { config, path } = source;
+    let counters = Rc::new(Counters::default());
+    let pool = Rc::new(ConnectionPool::new(config.pool.clone(), counters.clone()));
+    let reservation_limit = duration_from_micros(config.settings.rules.reservation_limit);
+    let upstream = Upstream::new(pool, UpstreamProtocol::Platform, counters.clone(), reservation_limit);
+    let routing = Routing::start(&config.settings, config.seed, process.clock, upstream, counters.clone());
+    let (discovery_address, discovery_changes) = watch::channel(config.discovery);
+    spawn_local(reload_on_hangup(hangup_signals, path, discovery_address, counters.clone()));
+    let context = routing.spawn_fleet_tasks();
+    let ready = start_discovery(&config, context.clone(), process.clock, discovery_changes);
+
+    let limiter = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
+    let capabilities = config.settings.capabilities;
+    let shutdown = process.shutdown.clone();
+    let api =
+        PlatformApi::new(context, (config.names, capabilities), limiter.clone(), ready, shutdown.clone());
+    let listener = listen(config.listen).await?;
+    spawn_local(serve(listener, None, limiter, shutdown, move |_| api.clone()));
+    tracing::info!(api = "platform", name = %config.name, address = %config.listen, "listening");
+    Ok(RunningApi { name: "platform", counters })
+}
+
+/// Starts the watch on discovery. The result turns true once the router is ready.
+fn start_discovery(
+    config: &PlatformConfig, context: RoutingContext, clock: Clock, address: watch::Receiver<SocketAddr>,
+) -> watch::Receiver<bool> {
+    let mut directory = EndpointDirectory::new(context, &config.settings, config.names.clone(), clock);
+    if let Some(list) = &config.known_endpoints {
+        directory.apply(list);
+    }
+    let (notified, discovery_answered) = watch::channel(false);
+    let (ready, is_ready) = watch::channel(false);
+    let endpoint_watch = EndpointWatch::new(directory, &config.settings, config.seed, notified);
+    spawn_local(endpoint_watch.run(address));
+    spawn_local(signal_ready(discovery_answered, config.known_endpoints.is_some(), ready));
+    is_ready
+}
+
+/// Signals that the router is ready: once discovery has answered, or when that takes too long and the
+/// configuration has an endpoint list.
+async fn signal_ready(
+    mut discovery_answered: watch::Receiver<bool>, has_known_endpoints: bool, ready: watch::Sender<bool>,
+) {
+    let answer = discovery_answered.wait_for(|answered| *answered);
+    let in_time = timeout(DISCOVERY_TIMEOUT, answer).await.is_ok();
+    if !in_time && !has_known_endpoints {
+        let _ = discovery_answered.wait_for(|answered| *answered).await;
+    }
+    tracing::info!(endpoint_list = if in_time { "discovery" } else { "configuration" }, "ready");
+    ready.send_replace(true);
+}
+
+/// Starts the chat API: routing, its fixed endpoints, and at last the listener.
+async fn start_chat_api(mut config: ChatConfig, process: &Process) -> Result<RunningApi, StartError> {
+    let seed = process.clock.now() as u64 ^ (u64::from(std::process::id()) << 48);
+    let counters = Rc::new(Counters::default());
+    let pool = Rc::new(ConnectionPool::new(config.pool.clone(), counters.clone()));
+    let protocol = UpstreamProtocol::Chat(std::mem::take(&mut config.endpoint_headers));
+    let upstream = Upstream::new(pool, protocol, counters.clone(), Duration::ZERO);
+    let context =
+        Routing::start(&config.settings, seed, process.clock, upstream, counters.clone()).spawn_fleet_tasks();
+    add_fixed_endpoints(&config, &context);
+
+    let limiter = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
+    let address = config.listen;
+    let tls = config.tls.take();
+    let shutdown = process.shutdown.clone();
+    let api = ChatApi::new(context, Rc::new(config), limiter.clone(), shutdown.clone(), seed);
+    let listener = listen(address).await?;
+    spawn_local(serve(listener, tls, limiter, shutdown, move |peer| api.for_peer(peer)));
+    tracing::info!(api = "chat", %address, "listening");
+    Ok(RunningApi { name: "chat", counters })
+}
+
+/// Makes the endpoints of the chat API's configuration known, all ready.
+fn add_fixed_endpoints(config: &ChatConfig, context: &RoutingContext) {
+    let mut updates = Vec::new();
+    for (index, endpoint) in config.endpoints.iter().enumerate() {
+        let id = EndpointId(index as u32);
+        let address = EndpointAddress { addr: endpoint.address, role: Role::Mixed, ready: true };
+        context.upstream.pool().set_address(id, Some(address));
+        updates.push(EndpointUpdate { endpoint: id, ..EndpointUpdate::default() });
+    }
+    context.scheduler.endpoints_changed(true, updates);
+}
+
+/// The scheduler and the endpoints of one API, with the tasks that are still to be spawned.
+struct Routing {
+    context: RoutingContext,
+    fleet_commands: UnboundedReceiver<FleetCommand>,
+}
+
+impl Routing {
+    /// Starts the scheduler.
+    fn start(
+        settings: &Settings, seed: u64, clock: Clock, upstream: Upstream, counters: Rc<Counters>,
+    ) -> Self {
+        let (scheduler, fleet_commands) = SchedulerHandle::start(settings.clone(), seed, clock);
+        let context = RoutingContext { scheduler, upstream: Rc::new(upstream), counters };
+        Routing { context, fleet_commands }
+    }
+
+    /// Spawns the tasks that concern all endpoints: the scheduler's commands, and the eviction of idle
+    /// connections.
+    fn spawn_fleet_tasks(self) -> RoutingContext {
+        spawn_local(run_fleet_commands(self.context.clone(), self.fleet_commands));
+        let pool = self.context.upstream.pool().clone();
+        spawn_local(async move { pool.run_idle_eviction().await });
+        self.context
+    }
+}
+
+/// Listens on an address. A router that restarts may find its address still in use, or the machine short of a
+/// resource, so what the system refuses is tried again for a while.
+async fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
+    let give_up_at = Instant::now() + START_TIMEOUT;
+    loop {
+        match TcpListener::bind(address).await {
+            Ok(listener) => return Ok(listener),
+            Err(error) if Instant::now() < give_up_at => {
+                tracing::warn!(%address, %error, "cannot listen yet");
+                sleep(START_RETRY_DELAY).await;
+            }
+            Err(source) => return Err(StartError::Listen { address, source }),
+        }
+    }
+}
+
+/// Reads a configuration. Where the system fails to read the file, this is tried again for a while.
+async fn read_config<T>(read: impl Fn() -> Result<T, ConfigError>) -> Result<T, StartError> {
+    let give_up_at = Instant::now() + START_TIMEOUT;
+    loop {
+        match read() {
+            Err(error) if error.is_transient() && Instant::now() < give_up_at => {
+                tracing::warn!(%error, "configuration not readable yet");
+                sleep(START_RETRY_DELAY).await;
+            }
+            result => return Ok(result?),
+        }
+    }
+}
