--- a/src/config/chat.rs
+++ b/src/config/chat.rs
@@ -9,10 +9,10 @@
 
 use crate::config::error::{ChatConfigError, ConfigError};
 use crate::config::pool::{default_connect_timeout_ms, default_idle_close_ms, pool_limits};
+use crate::config::tls::TlsSettings;
 use crate::scheduler::{
     Capabilities, ClassId, EndpointKind, Idempotency, Micros, RequestClass, Role, Settings,
 };
-use crate::server::spiffe::{IdentityVerifier, TlsSettings};
 use crate::upstream::connection_pool::PoolLimits;
 
 /// Most connections to clients, and most to endpoints, whatever the file allows.
@@ -42,8 +42,8 @@
     pub max_clients: usize,
     /// Most bytes of request bodies held at once.
     pub max_body_bytes: usize,
-    /// Verifies the clients' identities, where they must prove them.
-    pub tls: Option<IdentityVerifier>,
+    /// The identity files, where clients must prove who they are.
+    pub tls: Option<TlsSettings>,
 }
 
 /// An endpoint of the chat API.
@@ -138,22 +138,20 @@
     ///
     /// # Errors
     ///
-    /// Fails where the file or an identity file cannot be read or is invalid.
+    /// Fails where the file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
-        let base = path.parent().unwrap_or(Path::new(""));
-        Self::parse(&text, base).map_err(|source| ConfigError::Chat { path: path.to_owned(), source })
+        Self::parse(&text).map_err(|source| ConfigError::Chat { path: path.to_owned(), source })
     }
 
-    fn parse(text: &str, base: &Path) -> Result<Self, ChatConfigError> {
+    fn parse(text: &str) -> Result<Self, ChatConfigError> {
         let file: ChatFile = toml::from_str(text)?;
         file.check()?;
         let classes = file.classes.iter().map(ChatClass::request_class).collect::<Result<Vec<_>, _>>()?;
         let models = file.class_by_model()?;
         let endpoint_headers = file.header_map()?;
         let settings = file.settings(classes)?;
-        let tls = file.tls.map(|tls| IdentityVerifier::read(tls, base)).transpose()?;
         Ok(ChatConfig {
             listen: file.listen,
             endpoints: file.endpoints.into_iter().map(ChatEndpoint::from).collect(),
@@ -168,7 +166,7 @@
             ),
             max_clients: file.client_connections.clamp(1, MAX_CONNECTIONS),
             max_body_bytes: MAX_BODY_BYTES,
-            tls,
+            tls: file.tls,
         })
     }
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -5,8 +5,6 @@
 use std::num::ParseIntError;
 use std::path::PathBuf;
 
-use crate::server::spiffe::IdentityError;
-
 /// Why a configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -108,12 +106,9 @@
         /// The header's name.
         name: String,
     },
-    /// The identity files cannot be used.
-    #[error(transparent)]
-    Identity(#[from] IdentityError),
 }
 
 /// An error's text on one line: the TOML parser shows the place of an error over several.
-fn single_line(error: &dyn Error) -> String {
+pub fn single_line(error: &dyn Error) -> String {
     error.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,7 +8,9 @@
 pub mod platform;
 mod pool;
 pub mod reload;
+mod tls;
 
 pub use chat::ChatConfig;
 pub use error::ConfigError;
 pub use platform::PlatformConfig;
+pub use tls::TlsSettings;
--- a/src/server/spiffe.rs
+++ b/src/server/spiffe.rs
@@ -1,7 +1,6 @@
 //! SPIFFE identities: mutual TLS whose peer is known by the URI in its certificate.
 
 use std::cell::RefCell;
-use std::collections::BTreeSet;
 use std::path::Path;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,28 +10,19 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::server::WebPkiClientVerifier;
 use rustls::{RootCertStore, ServerConfig};
-use serde::Deserialize;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use tokio_rustls::TlsAcceptor;
 use tokio_rustls::server::TlsStream;
 use x509_parser::prelude::{FromDer, GeneralName, X509Certificate};
 
+use crate::config::TlsSettings;
+
 /// For a client to finish the handshake.
 const HANDSHAKE: Duration = Duration::from_secs(5);
 /// Longest SPIFFE ID, by the standard.
 const ID_MOST: usize = 2_048;
 
-/// The operator's settings for identities.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct TlsSettings {
-    certificate: std::path::PathBuf,
-    key: std::path::PathBuf,
-    trust_bundle: std::path::PathBuf,
-    allowed_ids: BTreeSet<String>,
-}
-
 /// Why identities cannot be set up, or a client has proved none.
 #[derive(Debug, thiserror::Error)]
 pub enum IdentityError {
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use inference_router::clock::{Clock, duration_from_micros};
+use inference_router::config::error::single_line;
 use inference_router::config::reload::{hangups, ignore_hangups, reload_on_hangup};
-use inference_router::config::{ChatConfig, ConfigError, PlatformConfig};
+use inference_router::config::{ChatConfig, ConfigError, PlatformConfig, TlsSettings};
 use inference_router::discovery::directory::EndpointDirectory;
 use inference_router::discovery::watch::EndpointWatch;
 use inference_router::metrics::Counters;
@@ -19,6 +20,7 @@
 use inference_router::server::connection_limits::ConnectionLimiter;
 use inference_router::server::platform_api::PlatformApi;
 use inference_router::server::serve;
+use inference_router::server::spiffe::{IdentityError, IdentityVerifier};
 use inference_router::shutdown::{Shutdown, TerminationSignals};
 use inference_router::upstream::connection_pool::{ConnectionPool, EndpointAddress};
 use inference_router::upstream::exchange::{Upstream, UpstreamProtocol};
@@ -43,6 +45,14 @@
     /// A configuration cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
+    /// The identity files that a configuration names cannot be used.
+    #[error("{}: {}", .path.display(), single_line(.source))]
+    Identity {
+        /// The configuration.
+        path: PathBuf,
+        /// What is wrong with the identity files.
+        source: IdentityError,
+    },
     /// There is no configuration at all.
     #[error("nothing to do: set LB_CONFIG for the platform's front or --chat FILE for the chat front")]
     NothingToDo,
@@ -73,6 +83,12 @@
     path: PathBuf,
 }
 
+/// The chat API's configuration, and what verifies its clients' identities, where they must prove them.
+struct ChatSource {
+    config: ChatConfig,
+    identities: Option<IdentityVerifier>,
+}
+
 /// What the APIs of one process share.
 struct Process {
     clock: Clock,
@@ -114,7 +130,7 @@
     paths: &ConfigPaths, process: &Process, hangup_signals: Signal,
 ) -> Result<Vec<RunningApi>, StartError> {
     let chat = match &paths.chat {
-        Some(path) => Some(read_config(|| ChatConfig::read(path)).await?),
+        Some(path) => Some(read_chat_config(path).await?),
         None => None,
     };
     let platform = match &paths.platform {
@@ -131,16 +147,32 @@
             spawn_local(ignore_hangups(hangup_signals));
         }
     }
-    if let Some(config) = chat {
-        apis.push(start_chat_api(config, process).await?);
+    if let Some(source) = chat {
+        apis.push(start_chat_api(source, process).await?);
     }
     Ok(apis)
 }
 
+/// Reads the chat API's configuration and the identity files that it names.
+async fn read_chat_config(path: &Path) -> Result<ChatSource, StartError> {
+    let mut config = read_config(|| ChatConfig::read(path)).await?;
+    let identities = match config.tls.take() {
+        Some(tls) => Some(read_identities(tls, path)?),
+        None => None,
+    };
+    Ok(ChatSource { config, identities })
+}
+
+fn read_identities(tls: TlsSettings, config_path: &Path) -> Result<IdentityVerifier, StartError> {
+    let base = config_path.parent().unwrap_or(Path::new(""));
+    IdentityVerifier::read(tls, base)
+        .map_err(|source| StartError::Identity { path: config_path.to_owned(), source })
+}
+
 /// Reads the platform's configuration and leaves it the sockets that the chat API does not use.
-async fn read_platform_config(path: &Path, chat: Option<&ChatConfig>) -> Result<PlatformSource, StartError> {
+async fn read_platform_config(path: &Path, chat: Option<&ChatSource>) -> Result<PlatformSource, StartError> {
     let mut config = read_config(|| PlatformConfig::read(path)).await?;
-    let chat_sockets = chat.map_or(0, |chat| chat.max_clients + chat.pool.max_connections);
+    let chat_sockets = chat.map_or(0, |chat| chat.config.max_clients + chat.config.pool.max_connections);
     config.reserve_sockets(chat_sockets);
     Ok(PlatformSource { config, path: path.to_owned() })
 }
@@ -202,7 +234,8 @@
 }
 
 /// Starts the chat API: routing, its fixed endpoints, and at last the listener.
-async fn start_chat_api(mut config: ChatConfig, process: &Process) -> Result<RunningApi, StartError> {
+async fn start_chat_api(source: ChatSource, process: &Process) -> Result<RunningApi, StartError> {
+    let ChatSource { mut config, identities } = source;
     let seed = process.clock.now() as u64 ^ (u64::from(std::process::id()) << 48);
     let counters = Rc::new(Counters::default());
     let pool = Rc::new(ConnectionPool::new(config.pool.clone(), counters.clone()));
@@ -214,11 +247,10 @@
 
     let limiter = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
     let address = config.listen;
-    let tls = config.tls.take();
     let shutdown = process.shutdown.clone();
     let api = ChatApi::new(context, Rc::new(config), limiter.clone(), shutdown.clone(), seed);
     let listener = listen(address).await?;
-    spawn_local(serve(listener, tls, limiter, shutdown, move |peer| api.for_peer(peer)));
+    spawn_local(serve(listener, identities, limiter, shutdown, move |peer| api.for_peer(peer)));
     tracing::info!(api = "chat", %address, "listening");
     Ok(RunningApi { name: "chat", counters })
 }
