--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -46,7 +46,7 @@
 
     /// Applies a list at once: an endpoint that drains or has been removed must get no further request.
     pub fn apply(&mut self, list: &EndpointList) {
-        self.context.counters.lists.increment();
+        self.context.counters.lists_received.increment();
         self.version = Some(list.version);
         let updates: Vec<EndpointUpdate> =
             list.endpoints.iter().filter_map(|record| self.apply_record(record, list.snapshot)).collect();
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -139,7 +139,7 @@
 
     /// Opens one watch and applies what it brings until it is lost.
     async fn watch_until_lost(&mut self, address: SocketAddr) -> LostWatch {
-        self.directory.context().counters.watches.increment();
+        self.directory.context().counters.watches_opened.increment();
         let started_at = Instant::now();
         match self.open(address).await {
             Ok(body) => self.apply_deltas(body, started_at).await,
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -126,7 +126,7 @@
 ) {
     let id = payload.id.clone();
     tracing::debug!(request_id = %id, prompt_tokens = ask.prompt_tokens, prefix_tokens = ask.prefix_tokens, remaining_ms = ask.client_timeout / 1_000, "request accepted");
-    core.counters.taken.increment();
+    core.counters.accepted.increment();
     let mut task = RequestTask {
         held: Reservation::new(core.upstream.clone(), id.clone()),
         gate: Rc::new(SendGate::new(core.counters.clone())),
@@ -204,11 +204,11 @@
         }
         let counters = self.core.counters.clone();
         let (given, word) = match answer {
-            RoutedResponse::Rejected { .. } => (&counters.refused, "refused"),
+            RoutedResponse::Rejected { .. } => (&counters.rejected, "refused"),
             _ => (&counters.failed, "failed"),
         };
         self.log_answer(word);
-        let counter = if self.caller.respond(answer) { given } else { &counters.left };
+        let counter = if self.caller.respond(answer) { given } else { &counters.client_disconnects };
         counter.increment();
     }
 
@@ -220,21 +220,21 @@
         let last = self.last_outcome.map_or("none".to_owned(), |outcome| format!("{outcome:?}"));
         tracing::debug!(request_id = %self.id, answer = word, attempts = self.attempts, last_outcome = last, remaining_ms = left.as_millis(), "request answered");
         if late > LATE_MOST {
-            self.core.counters.violations_answered_late.increment();
+            self.core.counters.violations_late_answer.increment();
             tracing::error!(request_id = %self.id, answer = word, late_ms = late.as_millis(), "violation: request answered too late");
         }
     }
 
     fn client_left(&mut self) {
         tracing::debug!(request_id = %self.id, "client disconnected");
-        self.core.counters.left.increment();
+        self.core.counters.client_disconnects.increment();
         self.end_early();
     }
 
     /// The planner has not ended it in time.
     fn overdue(&mut self) {
         tracing::error!(request_id = %self.id, "no decision by the deadline");
-        self.core.counters.overdue.increment();
+        self.core.counters.decision_timeouts.increment();
         self.log_answer("failed");
         self.caller.respond(RoutedResponse::Failed);
         self.end_early();
@@ -385,11 +385,11 @@
         let counters = self.core.counters.clone();
         match passed {
             Forwarded::Complete => {
-                counters.served.increment();
+                counters.completed.increment();
                 Outcome::Completed
             }
             Forwarded::Broken(how) => {
-                counters.broken.increment();
+                counters.interrupted.increment();
                 if how == StreamBroken::Malformed { Outcome::Malformed } else { Outcome::ConnectionLost }
             }
             Forwarded::Failed => {
--- a/src/request/reservation.rs
+++ b/src/request/reservation.rs
@@ -63,7 +63,7 @@
             release(upstream.clone(), id.clone()).await;
             let held = since.elapsed();
             if held > upstream.max_reservation() + SLACK {
-                upstream.counters().violations_held_too_long.increment();
+                upstream.counters().violations_reservation_overrun.increment();
                 tracing::error!(request_id = %id, reserved_ms = held.as_millis(), "violation: reservation held too long");
             }
         }));
--- a/src/server/close_reason.rs
+++ b/src/server/close_reason.rs
@@ -47,10 +47,10 @@
     pub fn counter(self, counters: &Counters) -> &Counter {
         match self {
             CloseReason::Ended => &counters.closes_ended,
-            CloseReason::ClosedBehindRequest => &counters.closes_behind_request,
+            CloseReason::ClosedBehindRequest => &counters.closes_unread_bytes,
             CloseReason::Idle => &counters.closes_idle,
             CloseReason::SlowHead => &counters.closes_slow_head,
-            CloseReason::Room => &counters.closes_room,
+            CloseReason::Room => &counters.closes_evicted,
         }
     }
 
--- a/src/upstream/connection_pool.rs
+++ b/src/upstream/connection_pool.rs
@@ -297,7 +297,7 @@
         while let Some(mut kept) = self.take_idle(endpoint, within) {
             // Guards against a connection that the endpoint has closed: the driver knows at once.
             if kept.sender.ready().await.is_ok() {
-                self.counters.reuses.increment();
+                self.counters.connections_reused.increment();
                 kept.fresh = false;
                 return Ok(kept);
             }
@@ -327,7 +327,7 @@
         let io = TokioIo::new(TrackedStream { socket, mark: mark.clone() });
         let made = http1::Builder::new().max_buf_size(BUFFER).handshake(io).await;
         let (sender, connection) = made.map_err(|_| ConnectError::Endpoint)?;
-        self.counters.connects.increment();
+        self.counters.connections_opened.increment();
         let driver = tokio::task::spawn_local(async move {
             let _permit: OwnedSemaphorePermit = permit;
             // Its end shows at the request that used it.
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -316,7 +316,7 @@
 
     /// Asks an endpoint how it is.
     pub async fn health_check(&self, endpoint: EndpointId) -> (Outcome, Option<LoadReport>) {
-        self.counters.probes.increment();
+        self.counters.health_checks.increment();
         match timeout(PROBE, self.call(endpoint, Method::GET, "/-/load")).await {
             Ok(Some(answer)) if answer.status() == StatusCode::OK => {
                 (Outcome::Completed, load(answer.body()))
--- a/src/upstream/release.rs
+++ b/src/upstream/release.rs
@@ -71,6 +71,6 @@
             }
         }
     }
-    calls.upstream.counters().releases_lost.increment();
+    calls.upstream.counters().releases_failed.increment();
     tracing::warn!(request_id = %calls.id, "reservation not released: no endpoint took the call");
 }
--- a/src/upstream/send_gate.rs
+++ b/src/upstream/send_gate.rs
@@ -76,11 +76,11 @@
         let denied = self.denied(site, times, Instant::now());
         if let Some(denied) = denied {
             Counter::increment(match denied {
-                SendDenied::RequestEnded => &self.counters.denied_unwanted,
+                SendDenied::RequestEnded => &self.counters.denied_request_ended,
                 SendDenied::Draining => &self.counters.denied_draining,
                 SendDenied::Late => &self.counters.denied_late,
                 SendDenied::Expired => &self.counters.denied_expired,
-                SendDenied::AttemptInFlight => &self.counters.violations_second_attempt,
+                SendDenied::AttemptInFlight => &self.counters.violations_concurrent_attempt,
             });
             return Err(denied);
         }
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -94,7 +94,7 @@
     let life = spawn_local(run_request(core.clone(), rig::ask(1), (payload(), ()), caller));
     attempt_waits(&core).await;
     drop(answer);
-    while core.counters.left.get() == 0 {
+    while core.counters.client_disconnects.get() == 0 {
         tokio::task::yield_now().await;
     }
     // Room again: whatever still waits for a connection gets one now.
