--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The scheduler's clock: monotonic, laid on Unix time once at the start of the process.
+//! The scheduler's clock: monotonic, set to Unix time once at the start of the process.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,7 +6,7 @@
 
 use crate::scheduler::Micros;
 
-/// Unix time in microseconds, read once and carried on by the monotonic clock.
+/// Unix time in microseconds, read once and advanced by the monotonic clock, so that it never jumps.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base: Micros,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A duration of the scheduler as timers take it; one below zero has run out.
+/// A duration of the scheduler in the form that timers take; a negative one is zero.
 pub fn duration_from_micros(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,5 +1,6 @@
 //! The HTTP calls to discovery: one snapshot, or a watch that streams what changes.
 
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -13,8 +14,30 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use crate::discovery::endpoint_list::{EndpointList, ListReader};
-use crate::discovery::watch::WatchError;
+use crate::discovery::endpoint_list::{EndpointList, ListError, ListReader};
+
+/// Why a call to discovery failed, or a watch was lost.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum WatchError {
+    /// No connection could be made.
+    #[error("cannot connect: {0}")]
+    Connect(#[source] io::Error),
+    /// The HTTP exchange failed.
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+    /// The response has a status other than 200.
+    #[error("answered {0}")]
+    Status(StatusCode),
+    /// The body is not an endpoint list.
+    #[error(transparent)]
+    List(#[from] ListError),
+    /// Nothing arrived before the timeout.
+    #[error("silent")]
+    Silent,
+    /// Discovery ended the response.
+    #[error("ended")]
+    Ended,
+}
 
 /// Fetches the complete endpoint list. Discovery has `response_timeout` to answer, and again for each part of
 /// the body.
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -4,15 +4,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hyper::StatusCode;
 use hyper::body::Incoming;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::discovery::backoff::Backoff;
-use crate::discovery::client::{fetch_snapshot, next_chunk, open_watch};
+use crate::discovery::client::{WatchError, fetch_snapshot, next_chunk, open_watch};
 use crate::discovery::directory::EndpointDirectory;
-use crate::discovery::endpoint_list::{ListError, ListReader};
+use crate::discovery::endpoint_list::ListReader;
 use crate::scheduler::Settings;
 
 /// Silence after which a watch on a shared discovery service is lost; it sends an empty line every 2 s. An
@@ -30,29 +29,6 @@
 /// is back.
 const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a watch was lost.
-#[derive(Debug, thiserror::Error)]
-pub enum WatchError {
-    /// No connection could be made.
-    #[error("cannot connect: {0}")]
-    Connect(#[source] std::io::Error),
-    /// The HTTP exchange failed.
-    #[error(transparent)]
-    Http(#[from] hyper::Error),
-    /// The response has a status other than 200.
-    #[error("answered {0}")]
-    Status(StatusCode),
-    /// The body is not an endpoint list.
-    #[error(transparent)]
-    List(#[from] ListError),
-    /// Nothing arrived before the timeout.
-    #[error("silent")]
-    Silent,
-    /// Discovery ended the response.
-    #[error("ended")]
-    Ended,
-}
-
 /// How one watch was lost.
 struct LostWatch {
     error: WatchError,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The router's program: its arguments, its log and its exit code. [`startup`] does the rest.
+//! The router's program: its arguments, its log and its exit code. [`startup`] starts and runs the router.
 #![forbid(unsafe_code)]
 
 mod startup;
