--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -94,7 +94,7 @@
     let request_task = spawn_local(run_request(context.clone(), request_spec(1), (payload(), ()), responder));
     wait_for_first_attempt(&context).await;
     drop(response);
-    while context.counters.left.get() == 0 {
+    while context.counters.client_disconnects.get() == 0 {
         tokio::task::yield_now().await;
     }
     // The pool has room again: an attempt that still waits for a connection gets one now.
