--- a/src/discovery/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -76,7 +76,7 @@
             endpoint = endpoint.0,
             offset_ms = offset / 1_000,
             corrects_clock,
-            "endpoint start time is in the future, taken as now"
+            "endpoint start time is impossible, taken as now"
         );
         if corrects_clock {
             self.correction += offset;
