--- a/tests/soak/client.rs
+++ b/tests/soak/client.rs
@@ -10,8 +10,8 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use super::message;
-use super::router::Router;
-use super::world::{Answer, Effect, RequestLog, World};
+use super::replica::ReplicaProcess;
+use super::run_state::{Answer, Effect, RequestLog, RunState};
 
 /// Behind a client's deadline, for its answer to come all the same.
 const BEYOND: Duration = Duration::from_secs(2);
@@ -23,12 +23,12 @@
     socket: TcpStream,
     unread: Vec<u8>,
     used: u64,
-    router: Rc<Router>,
+    router: Rc<ReplicaProcess>,
     kills: u64,
 }
 
 /// Sends one request after another until the load ends.
-pub async fn run(world: World, routers: Vec<Rc<Router>>, number: usize, until: Instant) {
+pub async fn run(world: RunState, routers: Vec<Rc<ReplicaProcess>>, number: usize, until: Instant) {
     let mut connection = None;
     let mut sent = 0u64;
     while Instant::now() < until {
@@ -49,7 +49,7 @@
     }
 }
 
-async fn open(world: &World, routers: &[Rc<Router>]) -> Option<Connection> {
+async fn open(world: &RunState, routers: &[Rc<ReplicaProcess>]) -> Option<Connection> {
     let ready: Vec<_> = routers.iter().filter(|router| router.ready.get()).collect();
     let router = ready.get(world.draw(0..ready.len().max(1) as u64) as usize)?;
     let socket = TcpStream::connect(router.listens()).await.ok()?;
@@ -59,7 +59,7 @@
 }
 
 /// Connects, and says nothing or half of a head; it is owed a close.
-async fn stands_there(world: &World, routers: &[Rc<Router>]) {
+async fn stands_there(world: &RunState, routers: &[Rc<ReplicaProcess>]) {
     let Some(mut connection) = open(world, routers).await else { return };
     if world.chance(500) {
         let _ = connection.socket.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nHost: a").await;
@@ -72,7 +72,7 @@
 }
 
 /// Sends a request and takes its answer; whether the connection goes on.
-async fn ask(world: &World, connection: &mut Connection, id: &str) -> bool {
+async fn ask(world: &RunState, connection: &mut Connection, id: &str) -> bool {
     let effect = if world.chance(300) { Effect::Unsafe } else { Effect::Safe };
     let timeout_ms = world.draw(1_500..4_000);
     let request = RequestLog {
@@ -112,7 +112,7 @@
 }
 
 /// Notes the answer of a request; whether the connection goes on.
-fn note(world: &World, connection: &Connection, id: &str, answer: Answer) -> bool {
+fn note(world: &RunState, connection: &Connection, id: &str, answer: Answer) -> bool {
     let killed = connection.router.kills.get() != connection.kills;
     // The process was ended for good while the request was under way, as it is with one that takes too long.
     let ended = connection.router.ending.get().is_some_and(|since| since.elapsed() > Duration::from_secs(4));
@@ -124,7 +124,7 @@
 }
 
 async fn write(
-    world: &World, connection: &mut Connection, id: &str, effect: Effect, timeout_ms: u64,
+    world: &RunState, connection: &mut Connection, id: &str, effect: Effect, timeout_ms: u64,
 ) -> io::Result<()> {
     let class = if effect == Effect::Safe { "climb-query" } else { "route-save" };
     let text = format!(
--- a/tests/soak/agent.rs
+++ b/tests/soak/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use super::message;
-use super::world::{Entry, Role, World};
+use super::run_state::{Entry, Role, RunState};
 
 /// Between empty lines while nothing changes.
 const EMPTY_LINE: Duration = Duration::from_secs(2);
@@ -22,8 +22,8 @@
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// One agent.
-pub struct Agent {
-    world: World,
+pub struct DiscoveryStub {
+    world: RunState,
     router: usize,
     silent_until: Cell<Option<Instant>>,
     resets: watch::Sender<u64>,
@@ -45,11 +45,11 @@
     format!("{{\"version\":{version},\"full\":{full},\"servers\":[{}]}}\n", entries.join(","))
 }
 
-impl Agent {
+impl DiscoveryStub {
     /// Starts an agent of a router at an address.
-    pub async fn start(world: &World, router: usize, address: &str) -> Rc<Self> {
+    pub async fn start(world: &RunState, router: usize, address: &str) -> Rc<Self> {
         let listener = TcpListener::bind(address).await.expect("a free address");
-        let agent = Rc::new(Agent {
+        let agent = Rc::new(DiscoveryStub {
             world: world.clone(),
             router,
             silent_until: Cell::new(None),
--- a/tests/soak/server.rs
+++ b/tests/soak/endpoint.rs
@@ -11,11 +11,11 @@
 use tokio::time::{Instant, sleep};
 
 use super::message::{self, Message};
-use super::world::{Attempt, Ended, Entry, Role, World};
+use super::run_state::{Attempt, Ended, Entry, Role, RunState};
 
 const NOT_STARTED: &str = "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 const NO_STATE: &str = "HTTP/1.1 410 Gone\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-const ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
+const ERROR: &str = "HTTP/1.1 500 Internal EndpointStub Error\r\nContent-Length: 0\r\n\r\n";
 const READ: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
 const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 const STREAM: &str =
@@ -24,8 +24,8 @@
 const IDLE: Duration = Duration::from_secs(4);
 
 /// One server, which may be started anew at its address.
-pub struct Server {
-    world: World,
+pub struct EndpointStub {
+    world: RunState,
     name: String,
     address: String,
     role: Role,
@@ -39,7 +39,7 @@
 
 /// An attempt that ends with its server, if not before.
 struct OpenAttempt {
-    world: World,
+    world: RunState,
     id: String,
     number: usize,
 }
@@ -61,10 +61,10 @@
     socket.listen(1_024).expect("it listens")
 }
 
-impl Server {
+impl EndpointStub {
     /// Starts a server that has run for long.
-    pub fn start(world: &World, role: Role, name: &str, address: String) -> Rc<Self> {
-        let server = Rc::new(Server {
+    pub fn start(world: &RunState, role: Role, name: &str, address: String) -> Rc<Self> {
+        let server = Rc::new(EndpointStub {
             world: world.clone(),
             name: name.to_owned(),
             address,
--- a/tests/soak/troubles.rs
+++ b/tests/soak/fault_injection.rs
@@ -9,15 +9,17 @@
 use super::common::faults::{
     EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENOBUFS, clock_off, failing,
 };
-use super::router::Router;
-use super::server::Server;
-use super::world::World;
+use super::endpoint::EndpointStub;
+use super::replica::ReplicaProcess;
+use super::run_state::RunState;
 
 /// Before the first trouble: all routers know all servers by then.
 const QUIET: Duration = Duration::from_millis(1_500);
 
 /// Starts troubles until the load ends, a few at once.
-pub async fn run(world: World, routers: Vec<Rc<Router>>, servers: Vec<Rc<Server>>, until: Instant) {
+pub async fn run(
+    world: RunState, routers: Vec<Rc<ReplicaProcess>>, servers: Vec<Rc<EndpointStub>>, until: Instant,
+) {
     sleep(QUIET).await;
     while Instant::now() + Duration::from_secs(1) < until {
         let (router, server) = (pick(&world, &routers), pick(&world, &servers));
@@ -28,15 +30,17 @@
     }
 }
 
-fn pick<T>(world: &World, all: &[Rc<T>]) -> Rc<T> {
+fn pick<T>(world: &RunState, all: &[Rc<T>]) -> Rc<T> {
     all[world.draw(0..all.len() as u64) as usize].clone()
 }
 
-fn milliseconds(world: &World, range: std::ops::Range<u64>) -> Duration {
+fn milliseconds(world: &RunState, range: std::ops::Range<u64>) -> Duration {
     Duration::from_millis(world.draw(range))
 }
 
-async fn one(world: World, router: Rc<Router>, server: Rc<Server>, routers: Vec<Rc<Router>>) {
+async fn one(
+    world: RunState, router: Rc<ReplicaProcess>, server: Rc<EndpointStub>, routers: Vec<Rc<ReplicaProcess>>,
+) {
     match world.draw(0..13) {
         0..4 => of_process(&world, &router).await,
         4 => {
@@ -81,7 +85,7 @@
 }
 
 /// What happens to a router's process; one thing at a time to each.
-async fn of_process(world: &World, router: &Rc<Router>) {
+async fn of_process(world: &RunState, router: &Rc<ReplicaProcess>) {
     if router.busy.replace(true) {
         return;
     }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -8,14 +8,14 @@
 #[path = "../common/mod.rs"]
 mod common;
 
-mod agent;
 mod client;
-mod judge;
+mod discovery;
+mod endpoint;
+mod fault_injection;
 mod message;
-mod router;
-mod server;
-mod troubles;
-mod world;
+mod replica;
+mod run_state;
+mod verifier;
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -23,9 +23,9 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use router::Router;
-use server::Server;
-use world::{Role, World};
+use endpoint::EndpointStub;
+use replica::ReplicaProcess;
+use run_state::{Role, RunState};
 
 /// For what is under way at the end to come to its end.
 const AFTER_LOAD: Duration = Duration::from_secs(6);
@@ -39,18 +39,18 @@
     std::env::var(name).map_or(usual, |value| value.parse().unwrap_or_else(|_| panic!("{name} is no number")))
 }
 
-async fn soak(seed: u64, routers: usize, load: Duration) -> (World, String) {
-    let world = World::new(seed);
+async fn soak(seed: u64, routers: usize, load: Duration) -> (RunState, String) {
+    let world = RunState::new(seed);
     let base = common::program::address();
     let roles = [(Role::Prefill, "r", PREFILL_SERVERS), (Role::Decode, "w", DECODE_SERVERS)];
     let mut servers = Vec::new();
     for (role, letter, count) in roles {
         for number in 0..count {
             let address = format!("{base}:{}", FIRST_SERVER_PORT + servers.len());
-            servers.push(Server::start(&world, role, &format!("{letter}{number}"), address));
+            servers.push(EndpointStub::start(&world, role, &format!("{letter}{number}"), address));
         }
     }
-    let fleet: Vec<_> = (0..routers).map(|number| Router::new(&world, number, routers)).collect();
+    let fleet: Vec<_> = (0..routers).map(|number| ReplicaProcess::new(&world, number, routers)).collect();
     for router in &fleet {
         router.start();
     }
@@ -61,7 +61,7 @@
     for number in 0..routers * CLIENTS {
         spawn_local(client::run(world.clone(), fleet.clone(), number, until));
     }
-    spawn_local(troubles::run(world.clone(), fleet.clone(), servers, until));
+    spawn_local(fault_injection::run(world.clone(), fleet.clone(), servers, until));
     sleep_until(until).await;
     sleep(AFTER_LOAD).await;
     if fleet.iter().any(|router| !router.follows()) {
@@ -90,7 +90,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let (world, logs) = LocalSet::new().block_on(&runtime, soak(seed, routers, load));
     let _ = std::panic::take_hook();
-    let mut verdict = judge::judge(&world, &logs, tolerance);
+    let mut verdict = verifier::judge(&world, &logs, tolerance);
     verdict.breaks.append(&mut FAILED.lock().expect("no holder fails"));
     println!("seed {seed}, {routers} routers, {} s: {}", load.as_secs(), verdict.summary);
     assert!(verdict.breaks.is_empty(), "seed {seed}:\n{}", verdict.breaks.join("\n"));
--- a/tests/soak/router.rs
+++ b/tests/soak/replica.rs
@@ -13,11 +13,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use super::agent::{Agent, line};
 use super::common::faults::Faults;
 use super::common::peers::configuration;
 use super::common::program::{address, file};
-use super::world::World;
+use super::discovery::{DiscoveryStub, line};
+use super::run_state::RunState;
 
 /// From SIGTERM to SIGKILL: the longest deadline, which counts as 3 s at least, and 0.7 s.
 const TERM_TO_KILL: Duration = Duration::from_millis(4_700);
@@ -26,14 +26,14 @@
 const FIRST_PORT: u32 = 8_500;
 
 /// One router, which may be started many times.
-pub struct Router {
-    world: World,
+pub struct ReplicaProcess {
+    world: RunState,
     pub number: usize,
     base: String,
     faults: Faults,
     log: PathBuf,
     child: RefCell<Option<Child>>,
-    agent: RefCell<Option<Rc<Agent>>>,
+    agent: RefCell<Option<Rc<DiscoveryStub>>>,
     port: Cell<u32>,
     /// Whether clients may be sent to it.
     pub ready: Cell<bool>,
@@ -46,13 +46,13 @@
     fleet: usize,
 }
 
-impl Router {
+impl ReplicaProcess {
     /// A router of a fleet of so many, not started yet.
-    pub fn new(world: &World, number: usize, fleet: usize) -> Rc<Self> {
+    pub fn new(world: &RunState, number: usize, fleet: usize) -> Rc<Self> {
         let base = address();
         let faults = Faults::new(&base, &[]);
         let log = file(&base, "log", "");
-        Rc::new(Router {
+        Rc::new(ReplicaProcess {
             world: world.clone(),
             number,
             base,
@@ -129,7 +129,7 @@
         let router = self.clone();
         spawn_local(async move {
             if router.agent.borrow().is_none() {
-                let agent = Agent::start(&router.world, router.number, &router.discovery()).await;
+                let agent = DiscoveryStub::start(&router.world, router.number, &router.discovery()).await;
                 *router.agent.borrow_mut() = Some(agent);
             }
         });
@@ -222,7 +222,7 @@
     pub async fn reconfigure(self: &Rc<Self>) {
         self.port.set(self.port.get() + 1);
         let old = self.agent.borrow_mut().take();
-        let agent = Agent::start(&self.world, self.number, &self.discovery()).await;
+        let agent = DiscoveryStub::start(&self.world, self.number, &self.discovery()).await;
         *self.agent.borrow_mut() = Some(agent);
         let text = self.configured();
         file(&self.base, "config.json", &text[..text.len() / 2]);
@@ -242,7 +242,7 @@
     }
 
     /// What its agent does.
-    pub fn with_agent(&self, act: impl FnOnce(&Agent)) {
+    pub fn with_agent(&self, act: impl FnOnce(&DiscoveryStub)) {
         let agent = self.agent.borrow().clone();
         if let Some(agent) = agent {
             act(&agent);
@@ -272,7 +272,7 @@
     }
 }
 
-impl Drop for Router {
+impl Drop for ReplicaProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.borrow_mut().take() {
             let _ = child.kill();
--- a/tests/soak/world.rs
+++ b/tests/soak/run_state.rs
@@ -105,15 +105,15 @@
 
 /// The shared record of a run.
 #[derive(Clone)]
-pub struct World {
+pub struct RunState {
     pub data: Rc<RefCell<Data>>,
     pub changed: watch::Sender<u64>,
 }
 
-impl World {
+impl RunState {
     pub fn new(seed: u64) -> Self {
         let data = Data { rng: fastrand::Rng::with_seed(seed), ..Data::default() };
-        World { data: Rc::new(RefCell::new(data)), changed: watch::Sender::new(0) }
+        RunState { data: Rc::new(RefCell::new(data)), changed: watch::Sender::new(0) }
     }
 
     /// A number within a range.
--- a/tests/soak/judge.rs
+++ b/tests/soak/verifier.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::world::{Answer, Attempt, Data, Effect, Ended, RequestLog, Role, World};
+use super::run_state::{Answer, Attempt, Data, Effect, Ended, RequestLog, Role, RunState};
 
 /// Figures of the rules, as the routers' settings and the operators' pages give them.
 const AFTER_CLIENT_LEFT: Duration = Duration::from_millis(100);
@@ -22,7 +22,7 @@
     pub breaks: Vec<String>,
 }
 
-struct Judge<'a> {
+struct Verifier<'a> {
     data: &'a Data,
     /// Requests that routers say they have taken.
     taken: HashSet<&'a str>,
@@ -31,12 +31,12 @@
 }
 
 /// Judges a run, and the routers' logs. `tolerance` is for the delays of the machine itself.
-pub fn judge(world: &World, logs: &str, tolerance: Duration) -> Verdict {
+pub fn judge(world: &RunState, logs: &str, tolerance: Duration) -> Verdict {
     let data = world.data.borrow();
     let taken =
         logs.lines().filter_map(|line| line.split_once("request accepted request_id=")?.1.split_once(' '));
     let taken = taken.map(|(id, _)| id).collect();
-    let mut judge = Judge { data: &data, taken, tolerance, breaks: Vec::new() };
+    let mut judge = Verifier { data: &data, taken, tolerance, breaks: Vec::new() };
     for (id, request) in &data.requests {
         judge.answer(id, request);
         judge.attempts(id, request);
@@ -76,7 +76,7 @@
     Some(lines.join("\n"))
 }
 
-impl Judge<'_> {
+impl Verifier<'_> {
     fn breaks(&mut self, rule: &str, id: &str, request: &RequestLog, detail: String) {
         let since =
             |at: Instant| request.sent.map_or(0, |sent| at.saturating_duration_since(sent).as_millis());
