--- a/tests/shim/faults.c
+++ b/tests/shim/faults.c
@@ -1,12 +1,16 @@
 /*
- * Makes system calls of one process fail, for the tests: loaded with LD_PRELOAD, told what to do by a control file that
- * the test rewrites while the process runs (its path is in FAULTS_FILE). Each line of that file names one fault:
+ * Injects faults into the system calls of one process, for the tests. The library is loaded with LD_PRELOAD and reads
+ * the faults to inject from a control file, whose path is in the environment variable FAULTS_FILE. A test may replace
+ * that file while the process runs; a change takes effect within REREAD_INTERVAL_NS. Each line names one fault:
  *
- *   CALL ERRNO PERCENT   that share of the calls fails with this error
- *   short 0 PERCENT      that share of the reads and writes on sockets moves a part of the bytes only
- *   clock 0 SECONDS      the wall clock is off by so much; the monotonic clock is not
+ *   CALL ERRNO PERCENT   this percentage of the calls fails with this error number
+ *   short 0 PERCENT      this percentage of the reads and writes on sockets transfers only a part of the bytes
+ *   clock 0 SECONDS      the wall clock is shifted by this many seconds; the monotonic clock is not
  *
- * CALL is one of accept, bind, connect, epoll, open, socket. Only files named config.json fail to open.
+ * CALL is one of accept, bind, connect, epoll, open, socket. Of the files, only those whose path contains config.json
+ * fail to open; of the sockets, only those for IPv4 fail to be created.
+ *
+ * The state below is not synchronised between threads.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -24,93 +28,115 @@
 #include <time.h>
 #include <unistd.h>
 
-enum fault { ACCEPT, BIND, CONNECT, EPOLL, OPEN, SOCKET, SHORT, CLOCK, FAULTS };
-
-static const char *const NAMES[FAULTS] = {"accept", "bind", "connect", "epoll", "open", "socket", "short", "clock"};
-static const long REREAD_NS = 5000000;
-
-static int error_of[FAULTS];
-static long amount_of[FAULTS];
-static long long read_at;
-static uint64_t state;
-
+enum fault { ACCEPT, BIND, CONNECT, EPOLL, OPEN, SOCKET, SHORT, CLOCK, FAULT_COUNT };
+
+/* The names of the faults in the control file, in the order of enum fault. */
+static const char *const FAULT_NAMES[FAULT_COUNT] = {"accept", "bind",   "connect", "epoll",
+                                                     "open",   "socket", "short",   "clock"};
+/* How long the contents of the control file are used before it is read again, in nanoseconds. */
+static const long REREAD_INTERVAL_NS = 5000000;
+/* Size of the buffer for the control file, in bytes; the rest of a longer file is ignored. */
+enum { MAX_CONTROL_FILE_BYTES = 1024 };
+
+/* The error number with which each fault fails a call. */
+static int error_numbers[FAULT_COUNT];
+/* The third column of the control file: a percentage of calls, or for CLOCK a number of seconds. Zero is no fault. */
+static long amounts[FAULT_COUNT];
+/* When the control file was last read, on the monotonic clock; zero before the first time. */
+static long long last_read_ns;
+/* State of the pseudo-random generator; zero until it is seeded. */
+static uint64_t random_state;
+
+/* The function of the C library that the function of the same name in this file replaces. */
 #define REAL(type, name) ((type)dlsym(RTLD_NEXT, name))
 
+/* Reads the clock by a direct system call, as clock_gettime is replaced below. */
 static long long monotonic_ns(void) {
     struct timespec now;
     syscall(SYS_clock_gettime, CLOCK_MONOTONIC, &now);
     return now.tv_sec * 1000000000LL + now.tv_nsec;
 }
 
-static void reread(void) {
+/* Replaces all faults by those in the text of a control file. */
+static void parse_faults(char *text) {
+    memset(error_numbers, 0, sizeof error_numbers);
+    memset(amounts, 0, sizeof amounts);
+    for (char *line = strtok(text, "\n"); line != NULL; line = strtok(NULL, "\n")) {
+        char name[16];
+        int error_number;
+        long amount;
+        if (sscanf(line, "%15s %d %ld", name, &error_number, &amount) != 3)
+            continue;
+        for (int fault = 0; fault < FAULT_COUNT; fault++) {
+            if (strcmp(name, FAULT_NAMES[fault]) == 0) {
+                error_numbers[fault] = error_number;
+                amounts[fault] = amount;
+            }
+        }
+    }
+}
+
+/* Reads the control file again if it is due. System calls are made directly, as open is replaced below. */
+static void refresh_faults(void) {
     long long now = monotonic_ns();
-    if (read_at != 0 && now - read_at < REREAD_NS)
+    if (last_read_ns != 0 && now - last_read_ns < REREAD_INTERVAL_NS)
         return;
-    read_at = now;
+    last_read_ns = now;
     const char *path = getenv("FAULTS_FILE");
     if (path == NULL)
         return;
     int file = (int)syscall(SYS_openat, AT_FDCWD, path, O_RDONLY | O_CLOEXEC);
     if (file < 0)
         return;
-    char text[1024];
+    char text[MAX_CONTROL_FILE_BYTES];
     long length = syscall(SYS_read, file, text, sizeof text - 1);
     syscall(SYS_close, file);
     if (length < 0)
         return;
     text[length] = 0;
-    memset(error_of, 0, sizeof error_of);
-    memset(amount_of, 0, sizeof amount_of);
-    for (char *line = strtok(text, "\n"); line != NULL; line = strtok(NULL, "\n")) {
-        char name[16];
-        int error;
-        long amount;
-        if (sscanf(line, "%15s %d %ld", name, &error, &amount) != 3)
-            continue;
-        for (int at = 0; at < FAULTS; at++) {
-            if (strcmp(name, NAMES[at]) == 0) {
-                error_of[at] = error;
-                amount_of[at] = amount;
-            }
-        }
-    }
+    parse_faults(text);
 }
 
-static int drawn(enum fault fault) {
-    reread();
-    if (amount_of[fault] <= 0)
+/* Decides at random, by the percentage of the fault, whether it hits this call. */
+static int is_injected(enum fault fault) {
+    refresh_faults();
+    if (amounts[fault] <= 0)
         return 0;
-    if (state == 0)
-        state = (uint64_t)monotonic_ns() | 1;
-    state = state * 6364136223846793005ULL + 1442695040888963407ULL;
-    return (long)((state >> 33) % 100) < amount_of[fault];
+    if (random_state == 0)
+        random_state = (uint64_t)monotonic_ns() | 1;
+    random_state = random_state * 6364136223846793005ULL + 1442695040888963407ULL;
+    return (long)((random_state >> 33) % 100) < amounts[fault];
 }
 
+/* Whether this call is to fail; errno is then set. */
 static int fails(enum fault fault) {
-    if (!drawn(fault))
+    if (!is_injected(fault))
         return 0;
-    errno = error_of[fault];
+    errno = error_numbers[fault];
     return 1;
 }
 
-static size_t part(size_t length) { return length > 1 && drawn(SHORT) ? 1 + length / 3 : length; }
+/* The number of bytes to transfer when `length` bytes were requested: fewer if a short transfer is injected. */
+static size_t transfer_length(size_t length) {
+    return length > 1 && is_injected(SHORT) ? 1 + length / 3 : length;
+}
 
-int accept4(int fd, struct sockaddr *addr, socklen_t *length, int flags) {
+int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     if (fails(ACCEPT))
         return -1;
-    return REAL(int (*)(int, struct sockaddr *, socklen_t *, int), "accept4")(fd, addr, length, flags);
+    return REAL(int (*)(int, struct sockaddr *, socklen_t *, int), "accept4")(fd, address, length, flags);
 }
 
-int bind(int fd, const struct sockaddr *addr, socklen_t length) {
+int bind(int fd, const struct sockaddr *address, socklen_t length) {
     if (fails(BIND))
         return -1;
-    return REAL(int (*)(int, const struct sockaddr *, socklen_t), "bind")(fd, addr, length);
+    return REAL(int (*)(int, const struct sockaddr *, socklen_t), "bind")(fd, address, length);
 }
 
-int connect(int fd, const struct sockaddr *addr, socklen_t length) {
+int connect(int fd, const struct sockaddr *address, socklen_t length) {
     if (fails(CONNECT))
         return -1;
-    return REAL(int (*)(int, const struct sockaddr *, socklen_t), "connect")(fd, addr, length);
+    return REAL(int (*)(int, const struct sockaddr *, socklen_t), "connect")(fd, address, length);
 }
 
 int socket(int domain, int type, int protocol) {
@@ -119,10 +145,10 @@
     return REAL(int (*)(int, int, int), "socket")(domain, type, protocol);
 }
 
-int epoll_wait(int epoll, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int epoll, struct epoll_event *events, int max_events, int timeout) {
     if (fails(EPOLL))
         return -1;
-    return REAL(int (*)(int, struct epoll_event *, int, int), "epoll_wait")(epoll, events, most, timeout);
+    return REAL(int (*)(int, struct epoll_event *, int, int), "epoll_wait")(epoll, events, max_events, timeout);
 }
 
 static int open_fails(const char *path) { return strstr(path, "config.json") != NULL && fails(OPEN); }
@@ -130,40 +156,41 @@
 int open64(const char *path, int flags, ...) {
     if (open_fails(path))
         return -1;
-    va_list rest;
-    va_start(rest, flags);
-    int mode = va_arg(rest, int);
-    va_end(rest);
+    va_list arguments;
+    va_start(arguments, flags);
+    int mode = va_arg(arguments, int);
+    va_end(arguments);
     return REAL(int (*)(const char *, int, int), "open64")(path, flags, mode);
 }
 
 int open(const char *path, int flags, ...) {
-    va_list rest;
-    va_start(rest, flags);
-    int mode = va_arg(rest, int);
-    va_end(rest);
+    va_list arguments;
+    va_start(arguments, flags);
+    int mode = va_arg(arguments, int);
+    va_end(arguments);
     return open64(path, flags, mode);
 }
 
-ssize_t recv(int fd, void *into, size_t length, int flags) {
-    return REAL(ssize_t (*)(int, void *, size_t, int), "recv")(fd, into, part(length), flags);
+ssize_t recv(int fd, void *buffer, size_t length, int flags) {
+    return REAL(ssize_t (*)(int, void *, size_t, int), "recv")(fd, buffer, transfer_length(length), flags);
 }
 
-ssize_t send(int fd, const void *from, size_t length, int flags) {
-    return REAL(ssize_t (*)(int, const void *, size_t, int), "send")(fd, from, part(length), flags);
+ssize_t send(int fd, const void *buffer, size_t length, int flags) {
+    return REAL(ssize_t (*)(int, const void *, size_t, int), "send")(fd, buffer, transfer_length(length), flags);
 }
 
-ssize_t writev(int fd, const struct iovec *from, int count) {
-    if (count > 0 && drawn(SHORT))
-        return REAL(ssize_t (*)(int, const void *, size_t), "write")(fd, from[0].iov_base, from[0].iov_len);
-    return REAL(ssize_t (*)(int, const struct iovec *, int), "writev")(fd, from, count);
+/* A short vectored write sends the first buffer only. */
+ssize_t writev(int fd, const struct iovec *buffers, int count) {
+    if (count > 0 && is_injected(SHORT))
+        return REAL(ssize_t (*)(int, const void *, size_t), "write")(fd, buffers[0].iov_base, buffers[0].iov_len);
+    return REAL(ssize_t (*)(int, const struct iovec *, int), "writev")(fd, buffers, count);
 }
 
-int clock_gettime(clockid_t clock, struct timespec *into) {
-    int result = (int)syscall(SYS_clock_gettime, clock, into);
+int clock_gettime(clockid_t clock, struct timespec *time) {
+    int result = (int)syscall(SYS_clock_gettime, clock, time);
     if (clock == CLOCK_REALTIME) {
-        reread();
-        into->tv_sec += amount_of[CLOCK];
+        refresh_faults();
+        time->tv_sec += amounts[CLOCK];
     }
     return result;
 }
