--- a/tests/soak/client.rs
+++ b/tests/soak/client.rs
@@ -1,4 +1,5 @@
-//! Clients of a run. Most behave; some leave early, write slowly, read slowly, stop in the middle or only stand there.
+//! Clients of a run. Most behave; some disconnect early, write slowly, read slowly, stop in the middle of a
+//! request or send nothing at all.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -9,177 +10,271 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-use super::message;
+use super::message::{Persistence, read_message, wait_until_closed};
 use super::replica::ReplicaProcess;
-use super::run_state::{Answer, Effect, RequestLog, RunState};
+use super::run_state::{Idempotency, RequestRecord, Response, ResponseOutcome, RunState};
 
-/// Behind a client's deadline, for its answer to come all the same.
-const BEYOND: Duration = Duration::from_secs(2);
-/// A bad client is owed an error or a close within 3 s.
-const OWED: Duration = Duration::from_millis(3_400);
+/// Time beyond its own timeout for which a client still waits for a response.
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
+/// Time within which an idle client's connection has to be closed: 3 s, and 0.4 s for the machine's delays.
+const IDLE_CLOSE_TIMEOUT: Duration = Duration::from_millis(3_400);
+/// Time after SIGTERM from which a request may be cut off, as its replica is about to be killed.
+const TERMINATION_EXEMPTION: Duration = Duration::from_secs(4);
+/// Size of the pieces in which slow clients write, in bytes.
+const SLOW_WRITE_PIECE_BYTES: usize = 60;
+/// The body of every request.
 const BODY: &str = r#"{"model":"chat","stream":true}"#;
+/// What a client sends that stops in the middle of a head.
+const PARTIAL_HEAD: &[u8] = b"POST /v1/chat/completions HTTP/1.1\r\nHost: a";
+/// The last chunk of a response, which has no bytes.
+const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
+/// A client's connection to a replica.
 struct Connection {
     socket: TcpStream,
+    /// Bytes that were received and belong to no message yet.
     unread: Vec<u8>,
-    used: u64,
-    router: Rc<ReplicaProcess>,
-    kills: u64,
+    /// Requests that were sent on this connection.
+    request_count: u64,
+    replica: Rc<ReplicaProcess>,
+    /// How often the replica had been killed when the connection was opened.
+    kill_count: u64,
+}
+
+/// The random parameters of a request.
+#[derive(Clone, Copy)]
+struct RequestParameters {
+    idempotency: Idempotency,
+    timeout_ms: u64,
+    /// Number of the prefix that the prompt begins with.
+    prefix: u64,
+}
+
+/// How a client takes a response.
+struct ReadBehavior {
+    /// When the client stops waiting for the head.
+    deadline: Instant,
+    /// When the client disconnects, whatever has come by then.
+    disconnect_at: Option<Instant>,
+    /// How long a slow reader waits after each read.
+    pause: Option<Duration>,
+}
+
+impl Connection {
+    /// Connects to a random replica among those that accept clients.
+    async fn open(state: &RunState, replicas: &[Rc<ReplicaProcess>]) -> Option<Self> {
+        let accepting: Vec<_> = replicas.iter().filter(|replica| replica.accepts_clients()).collect();
+        let replica = Rc::clone(accepting.get(state.draw_index(accepting.len().max(1)))?);
+        let socket = TcpStream::connect(replica.client_address()).await.ok()?;
+        let _ = socket.set_nodelay(true);
+        let kill_count = replica.kill_count();
+        Some(Connection { socket, unread: Vec::new(), request_count: 0, replica, kill_count })
+    }
+
+    /// Whether the replica has been killed since the connection was opened.
+    fn was_killed(&self) -> bool {
+        self.replica.kill_count() != self.kill_count
+    }
+
+    /// Whether the replica was killed, or is so long in termination that it may be killed.
+    fn is_exempt(&self) -> bool {
+        let terminating_for = self.replica.terminating_for();
+        self.was_killed() || terminating_for.is_some_and(|duration| duration > TERMINATION_EXEMPTION)
+    }
 }
 
 /// Sends one request after another until the load ends.
-pub async fn run(world: RunState, routers: Vec<Rc<ReplicaProcess>>, number: usize, until: Instant) {
+pub(crate) async fn run_client(
+    state: RunState, replicas: Vec<Rc<ReplicaProcess>>, number: usize, load_end: Instant,
+) {
     let mut connection = None;
-    let mut sent = 0u64;
-    while Instant::now() < until {
-        sleep(Duration::from_millis(world.draw(20..700))).await;
-        if world.chance(60) {
-            stands_there(&world, &routers).await;
+    let mut request_count = 0u64;
+    while Instant::now() < load_end {
+        sleep(state.draw_milliseconds(20..700)).await;
+        if state.chance(60) {
+            idle_on_connection(&state, &replicas).await;
             continue;
         }
-        if connection.is_none() || world.chance(100) {
-            connection = open(&world, &routers).await;
+        if connection.is_none() || state.chance(100) {
+            connection = Connection::open(&state, &replicas).await;
         }
         let Some(open) = connection.as_mut() else { continue };
-        sent += 1;
-        let id = format!("c{number}-{sent}");
-        if !ask(&world, open, &id).await {
+        request_count += 1;
+        let id = format!("c{number}-{request_count}");
+        if exchange(&state, open, &id).await == Persistence::Close {
             connection = None;
         }
     }
 }
 
-async fn open(world: &RunState, routers: &[Rc<ReplicaProcess>]) -> Option<Connection> {
-    let ready: Vec<_> = routers.iter().filter(|router| router.ready.get()).collect();
-    let router = ready.get(world.draw(0..ready.len().max(1) as u64) as usize)?;
-    let socket = TcpStream::connect(router.listens()).await.ok()?;
-    let _ = socket.set_nodelay(true);
-    let (router, kills) = (Rc::clone(router), router.kills.get());
-    Some(Connection { socket, unread: Vec::new(), used: 0, router, kills })
+/// Connects and sends nothing or a part of a head; the replica has to close the connection.
+async fn idle_on_connection(state: &RunState, replicas: &[Rc<ReplicaProcess>]) {
+    let Some(mut connection) = Connection::open(state, replicas).await else { return };
+    if state.chance(500) {
+        let _ = connection.socket.write_all(PARTIAL_HEAD).await;
+    }
+    let closed = timeout(IDLE_CLOSE_TIMEOUT, wait_until_closed(&mut connection.socket)).await.is_ok();
+    if !closed && !connection.was_killed() && !connection.replica.has_process_fault() {
+        state.record_violation("the connection of an idle client was not closed");
+    }
 }
 
-/// Connects, and says nothing or half of a head; it is owed a close.
-async fn stands_there(world: &RunState, routers: &[Rc<ReplicaProcess>]) {
-    let Some(mut connection) = open(world, routers).await else { return };
-    if world.chance(500) {
-        let _ = connection.socket.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nHost: a").await;
+/// Sends a request and takes its response.
+async fn exchange(state: &RunState, connection: &mut Connection, id: &str) -> Persistence {
+    let parameters = RequestParameters::draw(state);
+    state.record.borrow_mut().requests.insert(id.to_owned(), new_record(connection, parameters));
+    connection.request_count += 1;
+    if write_request(state, connection, id, parameters).await.is_err() {
+        return record_response(state, connection, id, ResponseOutcome::ConnectionClosed);
     }
-    let closed = timeout(OWED, message::closed(&mut connection.socket)).await.is_ok();
-    let router = &connection.router;
-    if !closed && router.kills.get() == connection.kills && !router.busy.get() {
-        world.trouble("BREAK: a client that says no more was not closed");
+    let sent_at = Instant::now();
+    state.update_request(id, |record| record.sent_at = Some(sent_at));
+    let deadline = sent_at + Duration::from_millis(parameters.timeout_ms) + RESPONSE_GRACE;
+    let behavior = draw_read_behavior(state, sent_at, deadline);
+    let Some(outcome) = read_response(connection, &behavior).await else {
+        state.update_request(id, |record| record.client_disconnected_at = Some(Instant::now()));
+        return Persistence::Close;
+    };
+    record_response(state, connection, id, outcome)
+}
+
+impl RequestParameters {
+    /// Draws the parameters; 300 requests in 1,000 are not idempotent.
+    fn draw(state: &RunState) -> Self {
+        let idempotency =
+            if state.chance(300) { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
+        let timeout_ms = state.draw(1_500..4_000);
+        let prefix = state.draw(0..5);
+        RequestParameters { idempotency, timeout_ms, prefix }
     }
 }
 
-/// Sends a request and takes its answer; whether the connection goes on.
-async fn ask(world: &RunState, connection: &mut Connection, id: &str) -> bool {
-    let effect = if world.chance(300) { Effect::Unsafe } else { Effect::Safe };
-    let timeout_ms = world.draw(1_500..4_000);
-    let request = RequestLog {
-        router: connection.router.number,
-        effect,
-        fresh: connection.used == 0,
-        sent: None,
-        timeout_ms,
-        left: None,
-        answer: None,
-        excused: false,
+/// The record of a request that is about to be sent.
+fn new_record(connection: &Connection, parameters: RequestParameters) -> RequestRecord {
+    RequestRecord {
+        replica: connection.replica.number(),
+        idempotency: parameters.idempotency,
+        first_on_connection: connection.request_count == 0,
+        sent_at: None,
+        timeout_ms: parameters.timeout_ms,
+        client_disconnected_at: None,
+        response: None,
+        replica_terminated: false,
         attempts: Vec::new(),
-        released: Vec::new(),
-    };
-    connection.used += 1;
-    world.data.borrow_mut().requests.insert(id.to_owned(), request);
-    if write(world, connection, id, effect, timeout_ms).await.is_err() {
-        return note(world, connection, id, Answer::Closed);
-    }
-    let sent = Instant::now();
-    world.request(id, |request| request.sent = Some(sent));
-    let until = sent + Duration::from_millis(timeout_ms) + BEYOND;
-    let leaves = world.chance(100).then(|| sent + Duration::from_millis(world.draw(0..900)));
-    let slow = world.chance(50);
-    let reads = read_answer(connection, until, slow.then(|| Duration::from_millis(world.draw(100..900))));
-    let answer = match leaves {
-        None => reads.await,
-        Some(at) => match timeout_at(at, reads).await {
-            Ok(answer) => answer,
-            Err(_) => {
-                world.request(id, |request| request.left = Some(Instant::now()));
-                return false;
-            }
-        },
-    };
-    note(world, connection, id, answer)
+        released_at: Vec::new(),
+    }
 }
 
-/// Notes the answer of a request; whether the connection goes on.
-fn note(world: &RunState, connection: &Connection, id: &str, answer: Answer) -> bool {
-    let killed = connection.router.kills.get() != connection.kills;
-    // The process was ended for good while the request was under way, as it is with one that takes too long.
-    let ended = connection.router.ending.get().is_some_and(|since| since.elapsed() > Duration::from_secs(4));
-    world.request(id, |request| {
-        request.answer = Some((Instant::now(), answer));
-        request.excused |= killed || ended;
+/// Draws how a client reads: 100 in 1,000 disconnect early, and 50 in 1,000 read slowly.
+fn draw_read_behavior(state: &RunState, sent_at: Instant, deadline: Instant) -> ReadBehavior {
+    let mut behavior = ReadBehavior { deadline, disconnect_at: None, pause: None };
+    if state.chance(100) {
+        behavior.disconnect_at = Some(sent_at + state.draw_milliseconds(0..900));
+    }
+    if state.chance(50) {
+        behavior.pause = Some(state.draw_milliseconds(100..900));
+    }
+    behavior
+}
+
+/// Records the response of a request.
+fn record_response(
+    state: &RunState, connection: &Connection, id: &str, outcome: ResponseOutcome,
+) -> Persistence {
+    let exempt = connection.is_exempt();
+    state.update_request(id, |record| {
+        record.response = Some(Response { at: Instant::now(), outcome });
+        record.replica_terminated |= exempt;
     });
-    matches!(answer, Answer::Served | Answer::Refused | Answer::Failed)
+    match outcome {
+        ResponseOutcome::Completed | ResponseOutcome::Rejected | ResponseOutcome::Failed => {
+            Persistence::KeepAlive
+        }
+        ResponseOutcome::StreamBroken | ResponseOutcome::ConnectionClosed | ResponseOutcome::TimedOut => {
+            Persistence::Close
+        }
+    }
 }
 
-async fn write(
-    world: &RunState, connection: &mut Connection, id: &str, effect: Effect, timeout_ms: u64,
+/// Writes a request; 100 clients in 1,000 do so slowly.
+async fn write_request(
+    state: &RunState, connection: &mut Connection, id: &str, parameters: RequestParameters,
 ) -> io::Result<()> {
-    let class = if effect == Effect::Safe { "climb-query" } else { "route-save" };
+    let class = match parameters.idempotency {
+        Idempotency::Idempotent => "climb-query",
+        Idempotency::NonIdempotent => "route-save",
+    };
+    let RequestParameters { timeout_ms, prefix, .. } = parameters;
     let text = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
-         Request-Timeout-Ms: {timeout_ms}\r\nRequest-Info: prefix=p{},prefix_len=100,prompt_len=400,max_out=60\r\n\
+         Request-Timeout-Ms: {timeout_ms}\r\nRequest-Info: prefix=p{prefix},prefix_len=100,prompt_len=400,max_out=60\r\n\
          Content-Length: {}\r\n\r\n{BODY}",
-        world.draw(0..5),
         BODY.len()
     );
-    if !world.chance(100) {
+    if !state.chance(100) {
         return connection.socket.write_all(text.as_bytes()).await;
     }
-    for piece in text.as_bytes().chunks(60) {
+    for piece in text.as_bytes().chunks(SLOW_WRITE_PIECE_BYTES) {
         connection.socket.write_all(piece).await?;
-        sleep(Duration::from_millis(world.draw(1..120))).await;
+        sleep(state.draw_milliseconds(1..120)).await;
     }
     Ok(())
 }
 
-async fn read_answer(connection: &mut Connection, until: Instant, pause: Option<Duration>) -> Answer {
-    let Connection { socket, unread, .. } = connection;
-    let head = match timeout_at(until, message::read(socket, unread)).await {
-        Err(_) => return Answer::Missing,
-        Ok(Err(_) | Ok(None)) => return Answer::Closed,
-        Ok(Ok(Some(head))) => head,
+/// Reads the response, or returns `None` once the client has to disconnect.
+async fn read_response(connection: &mut Connection, behavior: &ReadBehavior) -> Option<ResponseOutcome> {
+    let reading = read_to_end(connection, behavior);
+    match behavior.disconnect_at {
+        None => Some(reading.await),
+        Some(disconnect_at) => timeout_at(disconnect_at, reading).await.ok(),
+    }
+}
+
+async fn read_to_end(connection: &mut Connection, behavior: &ReadBehavior) -> ResponseOutcome {
+    let head = read_message(&mut connection.socket, &mut connection.unread);
+    let message = match timeout_at(behavior.deadline, head).await {
+        Err(_) => return ResponseOutcome::TimedOut,
+        Ok(Err(_) | Ok(None)) => return ResponseOutcome::ConnectionClosed,
+        Ok(Ok(Some(message))) => message,
     };
-    match head.head.split(' ').nth(1) {
-        Some("200") => read_stream(socket, unread, pause).await,
-        Some("429" | "503") => Answer::Refused,
-        _ => Answer::Failed,
+    match message.head.split(' ').nth(1) {
+        Some("200") => read_stream(connection, behavior.pause).await,
+        Some("429" | "503") => ResponseOutcome::Rejected,
+        _ => ResponseOutcome::Failed,
     }
 }
 
-/// Reads a stream to its end. It is whole if it has all the events that its server numbered, once each and in order.
-async fn read_stream(socket: &mut TcpStream, unread: &mut Vec<u8>, pause: Option<Duration>) -> Answer {
-    loop {
-        if unread.ends_with(b"0\r\n\r\n") {
-            break;
-        }
-        match socket.read_buf(unread).await {
+/// Reads a stream to its end.
+async fn read_stream(connection: &mut Connection, pause: Option<Duration>) -> ResponseOutcome {
+    while !connection.unread.ends_with(LAST_CHUNK) {
+        match connection.socket.read_buf(&mut connection.unread).await {
             Ok(1..) => {}
-            _ => return Answer::Broken,
+            _ => return ResponseOutcome::StreamBroken,
         }
         if let Some(pause) = pause {
             sleep(pause).await;
         }
     }
-    let text = String::from_utf8_lossy(&std::mem::take(unread)).into_owned();
-    let events: Vec<u64> = text
+    let stream = std::mem::take(&mut connection.unread);
+    if is_complete_stream(&String::from_utf8_lossy(&stream)) {
+        ResponseOutcome::Completed
+    } else {
+        ResponseOutcome::StreamBroken
+    }
+}
+
+/// Whether a stream has all the events that its endpoint numbered, once each and in order, and its last
+/// event.
+fn is_complete_stream(text: &str) -> bool {
+    let numbers: Vec<u64> = text
         .split("data: {\"n\":")
         .skip(1)
         .filter_map(|event| event.split(',').next()?.parse().ok())
         .collect();
-    let of = text.split("\"of\":").nth(1).and_then(|rest| rest.split('}').next()?.parse::<u64>().ok());
-    let distinct: BTreeSet<_> = events.iter().collect();
-    let whole = of == Some(events.len() as u64) && distinct.len() == events.len() && events.is_sorted();
-    if whole && text.contains("[DONE]") { Answer::Served } else { Answer::Broken }
+    let total = text.split("\"of\":").nth(1).and_then(|rest| rest.split('}').next()?.parse::<u64>().ok());
+    let distinct: BTreeSet<_> = numbers.iter().collect();
+    total == Some(numbers.len() as u64)
+        && distinct.len() == numbers.len()
+        && numbers.is_sorted()
+        && text.contains("[DONE]")
 }
--- a/tests/soak/endpoint.rs
+++ b/tests/soak/endpoint.rs
@@ -1,4 +1,4 @@
-//! Servers of a run: prefill and decode servers that err, hang, fall silent, die and come back cold.
+//! Stubs of prefill and decode endpoints, which fail, hang, die and come back with nothing cached.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,238 +8,295 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
-use tokio::time::{Instant, sleep};
+use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use super::message::{self, Message};
-use super::run_state::{Attempt, Ended, Entry, Role, RunState};
+use super::message::{Message, Persistence, read_message, wait_until_closed};
+use super::run_state::{Attempt, AttemptId, AttemptOutcome, Lifecycle, ListedEndpoint, Role, RunState};
 
-const NOT_STARTED: &str = "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-const NO_STATE: &str = "HTTP/1.1 410 Gone\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-const ERROR: &str = "HTTP/1.1 500 Internal EndpointStub Error\r\nContent-Length: 0\r\n\r\n";
-const READ: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
-const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
-const STREAM: &str =
+/// The rejection of a request before its execution.
+const NOT_STARTED_RESPONSE: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+/// The answer of a decode endpoint to a request whose prefilled state is gone.
+const STATE_MISSING_RESPONSE: &str = "HTTP/1.1 410 Gone\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+/// A failure after which the request may have been executed.
+const ERROR_RESPONSE: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
+/// A response that breaks off within its status line.
+const TRUNCATED_RESPONSE: &str = "HTTP/1.1 2";
+/// The answer of a prefill endpoint that has prefilled the prompt and reserves its state.
+const PREFILLED_RESPONSE: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
+/// The answer to the release of a reservation.
+const RELEASED_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// The head of a decode endpoint's response, which is a stream of events.
+const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// Connections that stand idle are closed after this, as machines have been seen to do.
-const IDLE: Duration = Duration::from_secs(4);
+/// The last event of a stream, and the last chunk.
+const STREAM_END: &str = "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
+/// Time after which idle connections are closed, as real endpoints have been seen to do.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Connections that may wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1_024;
 
-/// One server, which may be started anew at its address.
-pub struct EndpointStub {
-    world: RunState,
+/// One endpoint, which can be restarted at its address.
+pub(crate) struct EndpointStub {
+    state: RunState,
     name: String,
     address: String,
     role: Role,
-    /// Until when it takes requests and answers none.
+    /// Until then, requests are accepted and not answered.
     hangs_until: Cell<Option<Instant>>,
     task: RefCell<Option<JoinHandle<()>>>,
+    /// Milliseconds since 1970; 0 for an endpoint that started long before the run.
     started_ms: Cell<u64>,
-    /// A change of its life is under way.
-    busy: Cell<bool>,
+    /// A fault that restarts the endpoint is under way.
+    restarting: Cell<bool>,
 }
 
-/// An attempt that ends with its server, if not before.
+/// Records the end of an attempt when it is dropped with its endpoint's tasks, unless an end is recorded
+/// before.
 struct OpenAttempt {
-    world: RunState,
-    id: String,
-    number: usize,
+    state: RunState,
+    id: AttemptId,
 }
 
 impl Drop for OpenAttempt {
     fn drop(&mut self) {
-        self.world.ended(&self.id, self.number, Ended::MayHaveRun);
+        self.state.record_attempt_end(&self.id, AttemptOutcome::PossiblyExecuted);
     }
 }
 
-fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+/// How an attempt ended, and whether its connection goes on.
+struct AttemptResult {
+    outcome: AttemptOutcome,
+    persistence: Persistence,
 }
 
+impl AttemptResult {
+    /// Sends a complete response, which ends an attempt with this outcome.
+    async fn respond(writer: &mut OwnedWriteHalf, response: &str, outcome: AttemptOutcome) -> Self {
+        let written = writer.write_all(response.as_bytes()).await;
+        AttemptResult { outcome, persistence: Persistence::after_write(&written) }
+    }
+
+    /// The connection ends while the request may have been executed.
+    fn connection_lost() -> Self {
+        AttemptResult { outcome: AttemptOutcome::PossiblyExecuted, persistence: Persistence::Close }
+    }
+}
+
+fn unix_milliseconds() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970").as_millis() as u64
+}
+
+/// Listens at an address that connections of an earlier listener may still occupy.
 fn listen(address: &str) -> TcpListener {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_reuseaddr(true).expect("an option");
-    socket.bind(address.parse().expect("an address")).expect("a free address");
-    socket.listen(1_024).expect("it listens")
+    let socket = TcpSocket::new_v4().expect("a socket can be created");
+    socket.set_reuseaddr(true).expect("the option can be set");
+    socket.bind(address.parse().expect("the address is valid")).expect("the address is free");
+    socket.listen(LISTEN_BACKLOG).expect("the socket can listen")
 }
 
 impl EndpointStub {
-    /// Starts a server that has run for long.
-    pub fn start(world: &RunState, role: Role, name: &str, address: String) -> Rc<Self> {
-        let server = Rc::new(EndpointStub {
-            world: world.clone(),
+    /// Starts an endpoint that has been up for long, and adds it to the endpoint list.
+    pub(crate) fn start(state: &RunState, role: Role, name: &str, address: String) -> Rc<Self> {
+        let endpoint = Rc::new(EndpointStub {
+            state: state.clone(),
             name: name.to_owned(),
             address,
             role,
             hangs_until: Cell::new(None),
             task: RefCell::default(),
             started_ms: Cell::new(0),
-            busy: Cell::new(false),
+            restarting: Cell::new(false),
         });
-        server.run();
-        server.list("Ready");
-        server
+        endpoint.spawn();
+        endpoint.announce(Lifecycle::Ready);
+        endpoint
     }
 
-    fn run(self: &Rc<Self>) {
-        let (server, listener) = (self.clone(), listen(&self.address));
+    /// Accepts requests for this time without answering any.
+    pub(crate) fn hang(&self, duration: Duration) {
+        self.hangs_until.set(Some(Instant::now() + duration));
+    }
+
+    /// Drains, leaves the list, and comes back `downtime` later. Does nothing during another restart.
+    pub(crate) async fn drain_and_restart(self: &Rc<Self>, drain_time: Duration, downtime: Duration) {
+        if self.restarting.replace(true) {
+            return;
+        }
+        self.announce(Lifecycle::Draining);
+        sleep(drain_time).await;
+        self.announce(Lifecycle::Removed);
+        self.restart(downtime).await;
+        self.restarting.set(false);
+    }
+
+    /// Dies without an announcement, and comes back `downtime` later. Does nothing during another restart.
+    pub(crate) async fn crash_and_restart(self: &Rc<Self>, downtime: Duration) {
+        if self.restarting.replace(true) {
+            return;
+        }
+        self.restart(downtime).await;
+        self.restarting.set(false);
+    }
+
+    fn spawn(self: &Rc<Self>) {
+        let endpoint = self.clone();
+        let listener = listen(&self.address);
         *self.task.borrow_mut() = Some(spawn_local(async move {
             let mut connections = JoinSet::new();
             while let Ok((socket, _)) = listener.accept().await {
-                connections.spawn_local(server.clone().serve(socket));
+                connections.spawn_local(endpoint.clone().serve(socket));
             }
         }));
     }
 
-    /// Tells the list what state it is in.
-    pub fn list(&self, state: &'static str) {
-        self.world.list(Entry {
+    /// Puts the endpoint's lifecycle into the endpoint list.
+    fn announce(&self, lifecycle: Lifecycle) {
+        self.state.update_endpoint(ListedEndpoint {
             id: self.name.clone(),
             address: self.address.clone(),
             role: self.role,
-            state,
+            lifecycle,
             started_ms: self.started_ms.get(),
         });
     }
 
-    /// Takes requests for so long and answers none.
-    pub fn hang(&self, time: Duration) {
-        self.hangs_until.set(Some(Instant::now() + time));
-    }
-
-    /// Drains, leaves the list, and comes back cold some time later.
-    pub async fn drain_and_return(self: &Rc<Self>, drains_for: Duration, after: Duration) {
-        if self.busy.replace(true) {
-            return;
-        }
-        self.list("Terminating");
-        sleep(drains_for).await;
-        self.list("Gone");
-        self.restart(after).await;
-        self.busy.set(false);
-    }
-
-    /// Dies without a word, and comes back cold.
-    pub async fn die_and_return(self: &Rc<Self>, after: Duration) {
-        if self.busy.replace(true) {
-            return;
-        }
-        self.restart(after).await;
-        self.busy.set(false);
-    }
-
-    /// Ends all its connections, and starts anew; states that waited are gone.
-    async fn restart(self: &Rc<Self>, after: Duration) {
+    /// Ends all connections, drops all reserved states, and starts anew after a while.
+    async fn restart(self: &Rc<Self>, downtime: Duration) {
         let task = self.task.borrow_mut().take();
-        task.iter().for_each(JoinHandle::abort);
-        self.world.data.borrow_mut().states.retain(|_, at| *at != self.name);
-        sleep(after).await;
-        self.started_ms.set(unix_ms());
-        self.run();
-        self.list("Ready");
+        if let Some(task) = task {
+            task.abort();
+        }
+        self.state.record.borrow_mut().reservations.retain(|_, endpoint| *endpoint != self.name);
+        sleep(downtime).await;
+        self.started_ms.set(unix_milliseconds());
+        self.spawn();
+        self.announce(Lifecycle::Ready);
     }
 
+    /// Serves the requests of one connection, one after another.
     async fn serve(self: Rc<Self>, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
         let (mut reader, mut writer) = socket.into_split();
         let mut unread = Vec::new();
         loop {
-            let asked = tokio::time::timeout(IDLE, message::read(&mut reader, &mut unread)).await;
-            let Ok(Ok(Some(asked))) = asked else { return };
-            let goes_on = if asked.head.starts_with("DELETE /kv/leases/") {
-                self.release(&asked, &mut writer).await
-            } else if asked.head.starts_with("POST /v1/chat/completions ") {
-                self.answer(&asked, &mut reader, &mut writer).await
+            let received = timeout(IDLE_TIMEOUT, read_message(&mut reader, &mut unread)).await;
+            let Ok(Ok(Some(request))) = received else { return };
+            let persistence = if request.head.starts_with("DELETE /kv/leases/") {
+                self.release(&request, &mut writer).await
+            } else if request.head.starts_with("POST /v1/chat/completions ") {
+                self.serve_attempt(&request, &mut reader, &mut writer).await
             } else {
-                false
+                Persistence::Close
             };
-            if !goes_on {
+            if persistence == Persistence::Close {
                 return;
             }
         }
     }
 
-    async fn hung(&self) {
+    async fn wait_out_hang(&self) {
         while let Some(until) = self.hangs_until.get().filter(|until| *until > Instant::now()) {
-            tokio::time::sleep_until(until).await;
+            sleep_until(until).await;
         }
     }
 
-    async fn release(&self, asked: &Message, writer: &mut OwnedWriteHalf) -> bool {
-        self.hung().await;
-        let id = asked.head.split([' ', '/']).nth(4).unwrap_or_default().to_owned();
-        self.world.data.borrow_mut().states.remove(&id);
-        self.world.request(&id, |request| request.released.push(Instant::now()));
-        writer.write_all(RELEASED.as_bytes()).await.is_ok()
+    /// Releases the reservation that the path `/kv/leases/ID` names.
+    async fn release(&self, request: &Message, writer: &mut OwnedWriteHalf) -> Persistence {
+        self.wait_out_hang().await;
+        let request_id = request.head.split([' ', '/']).nth(4).unwrap_or_default();
+        self.state.record.borrow_mut().reservations.remove(request_id);
+        self.state.update_request(request_id, |record| record.released_at.push(Instant::now()));
+        let written = writer.write_all(RELEASED_RESPONSE.as_bytes()).await;
+        Persistence::after_write(&written)
     }
 
-    /// Answers a request; whether the connection goes on. It ends at once if the router closes it.
-    async fn answer(&self, asked: &Message, reader: &mut OwnedReadHalf, writer: &mut OwnedWriteHalf) -> bool {
-        let id = asked.header("request-id").unwrap_or_default().to_owned();
-        let told_ms = asked.header("request-timeout-ms").and_then(|ms| ms.parse().ok()).unwrap_or(u64::MAX);
+    /// Serves one attempt, which ends at once if the replica closes the connection.
+    async fn serve_attempt(
+        &self, request: &Message, reader: &mut OwnedReadHalf, writer: &mut OwnedWriteHalf,
+    ) -> Persistence {
+        let request_id = request.header("request-id").unwrap_or_default();
+        let forwarded_timeout = request.header("request-timeout-ms").and_then(|value| value.parse().ok());
         let attempt = Attempt {
-            server: self.name.clone(),
+            endpoint: self.name.clone(),
             role: self.role,
-            arrived: Instant::now(),
-            told_ms,
-            ended: None,
+            arrived_at: Instant::now(),
+            timeout_ms: forwarded_timeout.unwrap_or(u64::MAX),
+            end: None,
         };
-        let Some(number) = self.world.arrived(&id, attempt) else {
-            panic!("no client sent a request {id:?}");
+        let Some(id) = self.state.record_attempt(request_id, attempt) else {
+            panic!("no client sent a request {request_id:?}");
         };
-        let open = OpenAttempt { world: self.world.clone(), id: id.clone(), number };
+        let open = OpenAttempt { state: self.state.clone(), id: id.clone() };
         tokio::select! {
-            (ended, goes_on) = self.work(&id, writer) => {
-                self.world.ended(&id, number, ended);
+            result = self.execute(request_id, writer) => {
+                self.state.record_attempt_end(&id, result.outcome);
                 drop(open);
-                goes_on
+                result.persistence
             }
-            () = message::closed(reader) => {
-                self.world.ended(&id, number, Ended::GivenUp);
-                false
+            () = wait_until_closed(reader) => {
+                self.state.record_attempt_end(&id, AttemptOutcome::Abandoned);
+                Persistence::Close
             }
         }
     }
 
-    /// Does the work of one request: how it ended, and whether the connection goes on.
-    async fn work(&self, id: &str, writer: &mut OwnedWriteHalf) -> (Ended, bool) {
-        let world = &self.world;
-        sleep(Duration::from_millis(world.draw(5..60))).await;
-        self.hung().await;
-        match world.draw(0..100) {
-            0 => return (Ended::MayHaveRun, writer.write_all(ERROR.as_bytes()).await.is_ok()),
-            1 => return (Ended::NotStarted, writer.write_all(NOT_STARTED.as_bytes()).await.is_ok()),
+    /// Executes one request after a random delay; 3 in 100 fail in one way or another.
+    async fn execute(&self, request_id: &str, writer: &mut OwnedWriteHalf) -> AttemptResult {
+        sleep(self.state.draw_milliseconds(5..60)).await;
+        self.wait_out_hang().await;
+        match self.state.draw(0..100) {
+            0 => {
+                return AttemptResult::respond(writer, ERROR_RESPONSE, AttemptOutcome::PossiblyExecuted)
+                    .await;
+            }
+            1 => {
+                return AttemptResult::respond(writer, NOT_STARTED_RESPONSE, AttemptOutcome::NotStarted)
+                    .await;
+            }
             2 => {
-                let _ = writer.write_all(b"HTTP/1.1 2").await;
-                return (Ended::MayHaveRun, false);
+                let _ = writer.write_all(TRUNCATED_RESPONSE.as_bytes()).await;
+                return AttemptResult::connection_lost();
             }
             _ => {}
         }
         match self.role {
-            Role::Prefill => {
-                world.data.borrow_mut().states.insert(id.to_owned(), self.name.clone());
-                (Ended::Read, writer.write_all(READ.as_bytes()).await.is_ok())
-            }
-            Role::Decode if world.data.borrow_mut().states.remove(id).is_none() => {
-                (Ended::NotStarted, writer.write_all(NO_STATE.as_bytes()).await.is_ok())
-            }
-            Role::Decode => self.stream(writer).await,
+            Role::Prefill => self.prefill(request_id, writer).await,
+            Role::Decode => self.decode(request_id, writer).await,
+        }
+    }
+
+    async fn prefill(&self, request_id: &str, writer: &mut OwnedWriteHalf) -> AttemptResult {
+        self.state.record.borrow_mut().reservations.insert(request_id.to_owned(), self.name.clone());
+        AttemptResult::respond(writer, PREFILLED_RESPONSE, AttemptOutcome::Prefilled).await
+    }
+
+    async fn decode(&self, request_id: &str, writer: &mut OwnedWriteHalf) -> AttemptResult {
+        let reserved_at = self.state.record.borrow_mut().reservations.remove(request_id);
+        if reserved_at.is_none() {
+            return AttemptResult::respond(writer, STATE_MISSING_RESPONSE, AttemptOutcome::NotStarted).await;
         }
+        self.stream(writer).await
     }
 
-    async fn stream(&self, writer: &mut OwnedWriteHalf) -> (Ended, bool) {
-        let events = self.world.draw(2..20);
-        let breaks = self.world.chance(10);
-        if writer.write_all(STREAM.as_bytes()).await.is_err() {
-            return (Ended::MayHaveRun, false);
+    /// Sends a random number of events, each with its own number and the total; 10 streams in 1,000 break in
+    /// the middle.
+    async fn stream(&self, writer: &mut OwnedWriteHalf) -> AttemptResult {
+        let event_count = self.state.draw(2..20);
+        let breaks = self.state.chance(10);
+        if writer.write_all(STREAM_HEAD.as_bytes()).await.is_err() {
+            return AttemptResult::connection_lost();
         }
-        for number in 0..events {
-            let event = format!("data: {{\"n\":{number},\"of\":{events}}}\n\n");
+        for number in 0..event_count {
+            let event = format!("data: {{\"n\":{number},\"of\":{event_count}}}\n\n");
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
-            if writer.write_all(chunk.as_bytes()).await.is_err() || (breaks && number == events / 2) {
-                return (Ended::MayHaveRun, false);
+            let written = writer.write_all(chunk.as_bytes()).await;
+            if written.is_err() || (breaks && number == event_count / 2) {
+                return AttemptResult::connection_lost();
             }
-            sleep(Duration::from_millis(self.world.draw(5..60))).await;
-            self.hung().await;
+            sleep(self.state.draw_milliseconds(5..60)).await;
+            self.wait_out_hang().await;
         }
-        (Ended::MayHaveRun, writer.write_all(b"e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n").await.is_ok())
+        AttemptResult::respond(writer, STREAM_END, AttemptOutcome::PossiblyExecuted).await
     }
 }
--- a/tests/soak/fault_injection.rs
+++ b/tests/soak/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Troubles of a run, several at a time: each begins at a moment of its own and lasts for a while.
+//! Injects faults into a run, several at a time: each begins at a random moment and lasts for a random time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,104 +9,184 @@
 use super::common::faults::{
     EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENOBUFS, clock_off, failing,
 };
+use super::discovery::DiscoveryStub;
 use super::endpoint::EndpointStub;
 use super::replica::ReplicaProcess;
 use super::run_state::RunState;
 
-/// Before the first trouble: all routers know all servers by then.
-const QUIET: Duration = Duration::from_millis(1_500);
+/// Time before the first fault: all replicas know all endpoints by then.
+const FAULT_FREE_START: Duration = Duration::from_millis(1_500);
+/// Time before the end of the load from which no more faults begin.
+const FAULT_FREE_END: Duration = Duration::from_secs(1);
+/// Mean time between two faults of a run with one replica, in milliseconds. With more replicas it is divided by
+/// their number, as one of them has a fault the more often.
+const SINGLE_REPLICA_FAULT_INTERVAL_MS: u64 = 2_400;
+/// The least number of replicas by which the mean time between two faults is divided.
+const MIN_FAULT_INTERVAL_REPLICAS: u64 = 2;
+/// The greatest number of replicas by which the mean time between two faults is divided.
+const MAX_FAULT_INTERVAL_REPLICAS: u64 = 12;
+/// The shift of the wall clock, in seconds, forwards or backwards.
+const CLOCK_SHIFT_SECONDS: i64 = 3_600;
 
-/// Starts troubles until the load ends, a few at once.
-pub async fn run(
-    world: RunState, routers: Vec<Rc<ReplicaProcess>>, servers: Vec<Rc<EndpointStub>>, until: Instant,
-) {
-    sleep(QUIET).await;
-    while Instant::now() + Duration::from_secs(1) < until {
-        let (router, server) = (pick(&world, &routers), pick(&world, &servers));
-        spawn_local(one(world.clone(), router, server, routers.clone()));
-        // The more routers, the more often one of them is in trouble.
-        let every = 2_400 / (routers.len() as u64).clamp(2, 12);
-        sleep(Duration::from_millis(world.draw(every / 2..every * 3 / 2))).await;
+/// A kind of fault.
+#[derive(Clone, Copy, Debug)]
+enum Fault {
+    /// One of [`ProcessFault`].
+    Process,
+    SystemCallFailures,
+    ClockShift,
+    DiscoverySilence,
+    WatchReset,
+    EndpointHang,
+    EndpointDrain,
+    EndpointCrash,
+}
+
+impl Fault {
+    /// Draws a kind; process faults are the most frequent.
+    fn draw(state: &RunState) -> Self {
+        match state.draw(0..13) {
+            0..4 => Fault::Process,
+            4 => Fault::SystemCallFailures,
+            5 => Fault::ClockShift,
+            6 => Fault::DiscoverySilence,
+            7 => Fault::WatchReset,
+            8 | 9 => Fault::EndpointHang,
+            10 | 11 => Fault::EndpointDrain,
+            _ => Fault::EndpointCrash,
+        }
     }
 }
 
-fn pick<T>(world: &RunState, all: &[Rc<T>]) -> Rc<T> {
-    all[world.draw(0..all.len() as u64) as usize].clone()
+/// A fault of a replica's process; each replica has at most one at a time.
+#[derive(Clone, Copy, Debug)]
+enum ProcessFault {
+    Restart,
+    Kill,
+    Pause,
+    /// Discovery moves twice in a row.
+    Reconfiguration,
 }
 
-fn milliseconds(world: &RunState, range: std::ops::Range<u64>) -> Duration {
-    Duration::from_millis(world.draw(range))
+impl ProcessFault {
+    fn draw(state: &RunState) -> Self {
+        match state.draw(0..5) {
+            0 | 1 => ProcessFault::Restart,
+            2 => ProcessFault::Kill,
+            3 => ProcessFault::Pause,
+            _ => ProcessFault::Reconfiguration,
+        }
+    }
 }
 
-async fn one(
-    world: RunState, router: Rc<ReplicaProcess>, server: Rc<EndpointStub>, routers: Vec<Rc<ReplicaProcess>>,
+/// What a fault may be injected into: a random replica, a random endpoint, or discovery for all replicas.
+struct Targets {
+    replica: Rc<ReplicaProcess>,
+    endpoint: Rc<EndpointStub>,
+    all_replicas: Vec<Rc<ReplicaProcess>>,
+}
+
+/// Injects faults until the load ends, without waiting for one to end before the next begins.
+pub(crate) async fn run_faults(
+    state: RunState, replicas: Vec<Rc<ReplicaProcess>>, endpoints: Vec<Rc<EndpointStub>>, load_end: Instant,
 ) {
-    match world.draw(0..13) {
-        0..4 => of_process(&world, &router).await,
-        4 => {
-            world.trouble("calls fail");
-            let faults = [
-                failing("connect", [ENETUNREACH, EADDRNOTAVAIL, ENOBUFS][world.draw(0..3) as usize], 50),
-                failing("socket", EMFILE, 20),
-                failing("accept", ECONNABORTED, 30),
-                failing("epoll", EINTR, 30),
-                failing("short", 0, 50),
-            ];
-            router.faults(&faults, milliseconds(&world, 300..1_500)).await;
-        }
-        5 => {
-            world.trouble("the wall clock is off");
-            let off = if world.chance(500) { 3_600 } else { -3_600 };
-            router.faults(&[clock_off(off)], milliseconds(&world, 1_000..3_000)).await;
-        }
-        6 => {
-            world.trouble("discovery is silent");
-            let time = milliseconds(&world, 1_000..4_000);
-            routers.iter().for_each(|router| router.with_agent(|agent| agent.silence(time)));
+    sleep(FAULT_FREE_START).await;
+    let counted_replicas =
+        (replicas.len() as u64).clamp(MIN_FAULT_INTERVAL_REPLICAS, MAX_FAULT_INTERVAL_REPLICAS);
+    let interval_ms = SINGLE_REPLICA_FAULT_INTERVAL_MS / counted_replicas;
+    while Instant::now() + FAULT_FREE_END < load_end {
+        let replica = choose(&state, &replicas);
+        let endpoint = choose(&state, &endpoints);
+        let targets = Targets { replica, endpoint, all_replicas: replicas.clone() };
+        spawn_local(inject_fault(state.clone(), targets));
+        sleep(state.draw_milliseconds(interval_ms / 2..interval_ms * 3 / 2)).await;
+    }
+}
+
+fn choose<T>(state: &RunState, all: &[Rc<T>]) -> Rc<T> {
+    all[state.draw_index(all.len())].clone()
+}
+
+async fn inject_fault(state: RunState, targets: Targets) {
+    match Fault::draw(&state) {
+        Fault::Process => inject_process_fault(&state, &targets.replica).await,
+        Fault::SystemCallFailures => fail_system_calls(&state, &targets.replica).await,
+        Fault::ClockShift => shift_clock(&state, &targets.replica).await,
+        Fault::DiscoverySilence => {
+            state.record_fault("discovery silent");
+            let duration = state.draw_milliseconds(1_000..4_000);
+            for_each_discovery(&targets.all_replicas, |stub| stub.silence(duration));
         }
-        7 => {
-            world.trouble("watches are reset");
-            routers.iter().for_each(|router| router.with_agent(|agent| agent.reset()));
+        Fault::WatchReset => {
+            state.record_fault("watches reset");
+            for_each_discovery(&targets.all_replicas, DiscoveryStub::reset_watches);
         }
-        8 | 9 => {
-            world.trouble("a server hangs");
-            server.hang(milliseconds(&world, 500..2_500));
+        Fault::EndpointHang => {
+            state.record_fault("endpoint hangs");
+            targets.endpoint.hang(state.draw_milliseconds(500..2_500));
         }
-        10 | 11 => {
-            world.trouble("a server drains and is replaced");
-            let (drains_for, after) = (milliseconds(&world, 500..1_500), milliseconds(&world, 200..1_000));
-            server.drain_and_return(drains_for, after).await;
+        Fault::EndpointDrain => {
+            state.record_fault("endpoint drained and replaced");
+            let drain_time = state.draw_milliseconds(500..1_500);
+            let downtime = state.draw_milliseconds(200..1_000);
+            targets.endpoint.drain_and_restart(drain_time, downtime).await;
         }
-        _ => {
-            world.trouble("a server dies");
-            server.die_and_return(milliseconds(&world, 300..2_000)).await;
+        Fault::EndpointCrash => {
+            state.record_fault("endpoint crashes");
+            targets.endpoint.crash_and_restart(state.draw_milliseconds(300..2_000)).await;
         }
     }
 }
 
-/// What happens to a router's process; one thing at a time to each.
-async fn of_process(world: &RunState, router: &Rc<ReplicaProcess>) {
-    if router.busy.replace(true) {
+fn for_each_discovery(replicas: &[Rc<ReplicaProcess>], action: impl Fn(&DiscoveryStub)) {
+    for stub in replicas.iter().filter_map(|replica| replica.discovery()) {
+        action(&stub);
+    }
+}
+
+/// Lets some of a replica's system calls fail or transfer only a part of their bytes.
+async fn fail_system_calls(state: &RunState, replica: &ReplicaProcess) {
+    state.record_fault("system calls fail");
+    let connect_errors = [ENETUNREACH, EADDRNOTAVAIL, ENOBUFS];
+    let connect_error = connect_errors[state.draw_index(connect_errors.len())];
+    let faults = [
+        failing("connect", connect_error, 50),
+        failing("socket", EMFILE, 20),
+        failing("accept", ECONNABORTED, 30),
+        failing("epoll", EINTR, 30),
+        failing("short", 0, 50),
+    ];
+    replica.inject_system_call_faults(&faults, state.draw_milliseconds(300..1_500)).await;
+}
+
+async fn shift_clock(state: &RunState, replica: &ReplicaProcess) {
+    state.record_fault("wall clock shifted");
+    let seconds = if state.chance(500) { CLOCK_SHIFT_SECONDS } else { -CLOCK_SHIFT_SECONDS };
+    replica.inject_system_call_faults(&[clock_off(seconds)], state.draw_milliseconds(1_000..3_000)).await;
+}
+
+async fn inject_process_fault(state: &RunState, replica: &Rc<ReplicaProcess>) {
+    if !replica.try_begin_process_fault() {
         return;
     }
-    match world.draw(0..5) {
-        0 | 1 => {
-            world.trouble("a router is restarted");
-            router.restart().await;
+    match ProcessFault::draw(state) {
+        ProcessFault::Restart => {
+            state.record_fault("replica restarted");
+            replica.restart().await;
         }
-        2 => {
-            world.trouble("a router is killed");
-            router.kill(milliseconds(world, 100..800)).await;
+        ProcessFault::Kill => {
+            state.record_fault("replica killed");
+            replica.kill(state.draw_milliseconds(100..800)).await;
         }
-        3 => {
-            world.trouble("a router is held up");
-            router.hold_up(milliseconds(world, 50..150)).await;
+        ProcessFault::Pause => {
+            state.record_fault("replica paused");
+            replica.pause(state.draw_milliseconds(50..150)).await;
         }
-        _ => {
-            world.trouble("discovery moves, twice in a row");
-            router.reconfigure().await;
-            router.reconfigure().await;
+        ProcessFault::Reconfiguration => {
+            state.record_fault("discovery moved twice in a row");
+            replica.reconfigure().await;
+            replica.reconfigure().await;
         }
     }
-    router.busy.set(false);
+    replica.end_process_fault();
 }
