--- /dev/null
+++ b/tests/soak/fault_injection.rs
@@ -0,0 +1,192 @@
+//! Injects faults into a run, several at a time: each begins at a random moment and lasts for a random time.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep};
+
+use super::common::faults::{
+    EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENOBUFS, clock_off, failing,
+};
+use super::discovery::DiscoveryStub;
+use super::endpoint::EndpointStub;
+use super::replica::ReplicaProcess;
+use super::run_state::RunState;
+
+/// Time before the first fault: all replicas know all endpoints by then.
+const FAULT_FREE_START: Duration = Duration::from_millis(1_500);
+/// Time before the end of the load from which no more faults begin.
+const FAULT_FREE_END: Duration = Duration::from_secs(1);
+/// Mean time between two faults of a run with one replica, in milliseconds. With more replicas it is divided by
+/// their number, as one of them has a fault the more often.
+const SINGLE_REPLICA_FAULT_INTERVAL_MS: u64 = 2_400;
+/// The least number of replicas by which the mean time between two faults is divided.
+const MIN_FAULT_INTERVAL_REPLICAS: u64 = 2;
+/// The greatest number of replicas by which the mean time between two faults is divided.
+const MAX_FAULT_INTERVAL_REPLICAS: u64 = 12;
+/// The shift of the wall clock, in seconds, forwards or backwards.
+const CLOCK_SHIFT_SECONDS: i64 = 3_600;
+
+/// A kind of fault.
+#[derive(Clone, Copy, Debug)]
+enum Fault {
+    /// One of [`ProcessFault`].
+    Process,
+    SystemCallFailures,
+    ClockShift,
+    DiscoverySilence,
+    WatchReset,
+    EndpointHang,
+    EndpointDrain,
+    EndpointCrash,
+}
+
+impl Fault {
+    /// Draws a kind; process faults are the most frequent.
+    fn draw(state: &RunState) -> Self {
+        match state.draw(0..13) {
+            0..4 => Fault::Process,
+            4 => Fault::SystemCallFailures,
+            5 => Fault::ClockShift,
+            6 => Fault::DiscoverySilence,
+            7 => Fault::WatchReset,
+            8 | 9 => Fault::EndpointHang,
+            10 | 11 => Fault::EndpointDrain,
+            _ => Fault::EndpointCrash,
+        }
+    }
+}
+
+/// A fault of a replica's process; each replica has at most one at a time.
+#[derive(Clone, Copy, Debug)]
+enum ProcessFault {
+    Restart,
+    Kill,
+    Pause,
+    /// Discovery moves twice in a row.
+    Reconfiguration,
+}
+
+impl ProcessFault {
+    fn draw(state: &RunState) -> Self {
+        match state.draw(0..5) {
+            0 | 1 => ProcessFault::Restart,
+            2 => ProcessFault::Kill,
+            3 => ProcessFault::Pause,
+            _ => ProcessFault::Reconfiguration,
+        }
+    }
+}
+
+/// What a fault may be injected into: a random replica, a random endpoint, or discovery for all replicas.
+struct Targets {
+    replica: Rc<ReplicaProcess>,
+    endpoint: Rc<EndpointStub>,
+    all_replicas: Vec<Rc<ReplicaProcess>>,
+}
+
+/// Injects faults until the load ends, without waiting for one to end before the next begins.
+pub(crate) async fn run_faults(
+    state: RunState, replicas: Vec<Rc<ReplicaProcess>>, endpoints: Vec<Rc<EndpointStub>>, load_end: Instant,
+) {
+    sleep(FAULT_FREE_START).await;
+    let counted_replicas =
+        (replicas.len() as u64).clamp(MIN_FAULT_INTERVAL_REPLICAS, MAX_FAULT_INTERVAL_REPLICAS);
+    let interval_ms = SINGLE_REPLICA_FAULT_INTERVAL_MS / counted_replicas;
+    while Instant::now() + FAULT_FREE_END < load_end {
+        let replica = choose(&state, &replicas);
+        let endpoint = choose(&state, &endpoints);
+        let targets = Targets { replica, endpoint, all_replicas: replicas.clone() };
+        spawn_local(inject_fault(state.clone(), targets));
+        sleep(state.draw_milliseconds(interval_ms / 2..interval_ms * 3 / 2)).await;
+    }
+}
+
+fn choose<T>(state: &RunState, all: &[Rc<T>]) -> Rc<T> {
+    all[state.draw_index(all.len())].clone()
+}
+
+async fn inject_fault(state: RunState, targets: Targets) {
+    match Fault::draw(&state) {
+        Fault::Process => inject_process_fault(&state, &targets.replica).await,
+        Fault::SystemCallFailures => fail_system_calls(&state, &targets.replica).await,
+        Fault::ClockShift => shift_clock(&state, &targets.replica).await,
+        Fault::DiscoverySilence => {
+            state.record_fault("discovery silent");
+            let duration = state.draw_milliseconds(1_000..4_000);
+            for_each_discovery(&targets.all_replicas, |stub| stub.silence(duration));
+        }
+        Fault::WatchReset => {
+            state.record_fault("watches reset");
+            for_each_discovery(&targets.all_replicas, DiscoveryStub::reset_watches);
+        }
+        Fault::EndpointHang => {
+            state.record_fault("endpoint hangs");
+            targets.endpoint.hang(state.draw_milliseconds(500..2_500));
+        }
+        Fault::EndpointDrain => {
+            state.record_fault("endpoint drained and replaced");
+            let drain_time = state.draw_milliseconds(500..1_500);
+            let downtime = state.draw_milliseconds(200..1_000);
+            targets.endpoint.drain_and_restart(drain_time, downtime).await;
+        }
+        Fault::EndpointCrash => {
+            state.record_fault("endpoint crashes");
+            targets.endpoint.crash_and_restart(state.draw_milliseconds(300..2_000)).await;
+        }
+    }
+}
+
+fn for_each_discovery(replicas: &[Rc<ReplicaProcess>], action: impl Fn(&DiscoveryStub)) {
+    for stub in replicas.iter().filter_map(|replica| replica.discovery()) {
+        action(&stub);
+    }
+}
+
+/// Lets some of a replica's system calls fail or transfer only a part of their bytes.
+async fn fail_system_calls(state: &RunState, replica: &ReplicaProcess) {
+    state.record_fault("system calls fail");
+    let connect_errors = [ENETUNREACH, EADDRNOTAVAIL, ENOBUFS];
+    let connect_error = connect_errors[state.draw_index(connect_errors.len())];
+    let faults = [
+        failing("connect", connect_error, 50),
+        failing("socket", EMFILE, 20),
+        failing("accept", ECONNABORTED, 30),
+        failing("epoll", EINTR, 30),
+        failing("short", 0, 50),
+    ];
+    replica.inject_system_call_faults(&faults, state.draw_milliseconds(300..1_500)).await;
+}
+
+async fn shift_clock(state: &RunState, replica: &ReplicaProcess) {
+    state.record_fault("wall clock shifted");
+    let seconds = if state.chance(500) { CLOCK_SHIFT_SECONDS } else { -CLOCK_SHIFT_SECONDS };
+    replica.inject_system_call_faults(&[clock_off(seconds)], state.draw_milliseconds(1_000..3_000)).await;
+}
+
+async fn inject_process_fault(state: &RunState, replica: &Rc<ReplicaProcess>) {
+    if !replica.try_begin_process_fault() {
+        return;
+    }
+    match ProcessFault::draw(state) {
+        ProcessFault::Restart => {
+            state.record_fault("replica restarted");
+            replica.restart().await;
+        }
+        ProcessFault::Kill => {
+            state.record_fault("replica killed");
+            replica.kill(state.draw_milliseconds(100..800)).await;
+        }
+        ProcessFault::Pause => {
+            state.record_fault("replica paused");
+            replica.pause(state.draw_milliseconds(50..150)).await;
+        }
+        ProcessFault::Reconfiguration => {
+            state.record_fault("discovery moved twice in a row");
+            replica.reconfigure().await;
+            replica.reconfigure().await;
+        }
+    }
+    replica.end_process_fault();
+}
