--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -7,12 +7,12 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::clock::duration_from_micros;
-use crate::request::relay::{self, Forwarded, StreamBroken, StreamChunk};
+use crate::request::relay::{self, Forwarded};
 use crate::request::reservation::Reservation;
 use crate::routing_context::RoutingContext;
 use crate::scheduler::{AttemptId, LoadReport, Micros, Outcome, RequestSpec};
 use crate::scheduler_handle::{AttemptSummary, RequestCommand, RequestHandle, SendCommand};
-use crate::upstream::event_stream::{ContentKind, EventStream};
+use crate::upstream::event_stream::{ContentKind, EventStream, StreamBroken, StreamChunk};
 use crate::upstream::exchange::{AttemptResponse, RequestPayload};
 use crate::upstream::send_gate::{AttemptDeadlines, SendGate};
 
--- a/src/request/relay.rs
+++ b/src/request/relay.rs
@@ -1,27 +1,12 @@
 //! Passing a stream on, event by event, as the bytes that came.
 
-use bytes::Bytes;
 use tokio::sync::mpsc;
 
-use crate::upstream::event_stream::EventStream;
+use crate::upstream::event_stream::{EventStream, StreamBroken, StreamChunk};
 
 /// StreamBody of a stream that wait for a slow reader; past them the endpoint's connection is read no further.
 pub const WAITING: usize = 4;
 
-/// The stream ended before it was whole; the client's connection must show it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum StreamBroken {
-    /// It was cut off, or went silent.
-    #[error("the stream was cut off")]
-    Cut,
-    /// It went on with what is no event stream.
-    #[error("the stream was malformed")]
-    Malformed,
-}
-
-/// A piece of a stream, or that it broke.
-pub type StreamChunk = Result<Bytes, StreamBroken>;
-
 /// How passing on ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Forwarded {
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -28,10 +28,10 @@
 
 use crate::metrics::Counters;
 use crate::request::lifecycle::{Responder, RoutedResponse, run_request};
-use crate::request::relay::{StreamBroken, StreamChunk};
 use crate::routing_context::RoutingContext;
 use crate::scheduler::{Capabilities, Micros, RequestSpec};
 use crate::shutdown::Shutdown;
+use crate::upstream::event_stream::{StreamBroken, StreamChunk};
 use crate::upstream::exchange::RequestPayload;
 use connection::serve_connection;
 use connection_limits::{BodyAllocation, ConnectionLimiter};
--- a/src/upstream/event_stream.rs
+++ b/src/upstream/event_stream.rs
@@ -13,7 +13,6 @@
 use serde::Deserialize;
 use tokio::time::{Instant, timeout_at};
 
-use crate::request::relay::StreamBroken;
 use crate::scheduler::{EndpointId, Outcome};
 use crate::upstream::connection_pool::{Connection, ConnectionPool};
 
@@ -41,6 +40,20 @@
     }
 }
 
+/// The stream ended before it was complete; the client's connection must show it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum StreamBroken {
+    /// It was cut off, or went silent.
+    #[error("the stream was cut off")]
+    Cut,
+    /// It went on with what is no event stream.
+    #[error("the stream was malformed")]
+    Malformed,
+}
+
+/// A piece of a stream, or that it broke.
+pub type StreamChunk = Result<Bytes, StreamBroken>;
+
 /// A running answer.
 pub struct EventStream {
     pool: Rc<ConnectionPool>,
