--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -108,7 +108,7 @@
     id: Rc<str>,
     handle: RequestHandle,
     caller: Responder,
-    held: Reservation,
+    reservation: Reservation,
     gate: Rc<SendGate>,
     deadline: Instant,
     /// Its answer comes in one piece.
@@ -128,7 +128,7 @@
     tracing::debug!(request_id = %id, prompt_tokens = ask.prompt_tokens, prefix_tokens = ask.prefix_tokens, remaining_ms = ask.client_timeout / 1_000, "request accepted");
     core.counters.taken.increment();
     let mut task = RequestTask {
-        held: Reservation::new(core.upstream.clone(), id.clone()),
+        reservation: Reservation::new(core.upstream.clone(), id.clone()),
         gate: Rc::new(SendGate::new(core.counters.clone())),
         deadline: Instant::now() + duration_from_micros(ask.client_timeout),
         whole: ask.unary,
@@ -149,7 +149,7 @@
         task.core.counters.violations_unanswered.increment();
         tracing::error!(request_id = %task.id, "violation: request ended without an answer");
     }
-    task.held.end().await;
+    task.reservation.finish().await;
 }
 
 impl RequestTask {
@@ -188,7 +188,7 @@
                     self.answer(RoutedResponse::Failed);
                     return None;
                 }
-                Wake::Command(RequestCommand::ReleaseReservation) => self.held.release(),
+                Wake::Command(RequestCommand::ReleaseReservation) => self.reservation.release(),
                 Wake::Command(RequestCommand::Forgotten) => return None,
                 Wake::Command(RequestCommand::Cancel(_) | RequestCommand::Migrate) => {}
                 Wake::ClientLeft => self.client_left(),
@@ -263,17 +263,17 @@
         match first {
             AttemptResponse::Streaming(events) => Next::Stream(events, attempt),
             AttemptResponse::Prefilled(kept) => {
-                self.held.waits();
+                self.reservation.start();
                 self.ended(&attempt, Outcome::Prefilled, (kept, load))
             }
             AttemptResponse::Finished(outcome) => {
                 let ran = !outcome.excludes_execution();
                 if prefill && ran {
                     // Guards the pin limit: the prompt may have been read although the answer was lost.
-                    self.held.waits();
-                    self.held.release();
+                    self.reservation.start();
+                    self.reservation.release();
                 }
-                self.held.tried(outcome, attempt.took());
+                self.reservation.attempt_finished(outcome, attempt.took());
                 self.ended(&attempt, outcome, (0.0, load))
             }
         }
@@ -282,7 +282,7 @@
     /// Lets go of an earlier read's state before the next read; false when the client leaves meanwhile.
     async fn release_before_read(&mut self) -> bool {
         let left = tokio::select! {
-            () = self.held.settle() => false,
+            () = self.reservation.release_before_prefill() => false,
             () = self.caller.client_disconnected() => true,
         };
         if left {
@@ -316,7 +316,7 @@
                 .send
                 .start_within
                 .map(|within| attempt.begun + duration_from_micros(within)),
-            reserved: self.held.any(),
+            reserved: self.reservation.is_held(),
         };
         let (upstream, gate) = (self.core.upstream.clone(), self.gate.clone());
         let first = upstream.run_attempt(attempt.send.endpoint, payload, times, &gate);
@@ -353,7 +353,7 @@
 
     /// Passes the stream on: it is this client's from its first event on, and no deadline runs any more.
     async fn stream(&mut self, mut events: Box<EventStream>, attempt: Attempt) {
-        self.held.taken();
+        self.reservation.transferred();
         if !self.whole {
             // A whole answer tells nothing of the time to a first token.
             let took = attempt.took();
--- a/src/request/reservation.rs
+++ b/src/request/reservation.rs
@@ -1,4 +1,4 @@
-//! What may be held for a request at the endpoints, and the release that is under way.
+//! What may be reserved for one request at the endpoints, and the release of it that is in progress.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,82 +10,98 @@
 use crate::upstream::exchange::Upstream;
 use crate::upstream::release::release;
 
-/// For a release before the next read: a later one would let go of that read's state.
-const RELEASE_FIRST: Duration = Duration::from_millis(250);
-/// What the rules on sockets add to the time for which something may be held.
-const SLACK: Duration = Duration::from_millis(300);
+/// How long (250 ms) the next prefill waits for the release of an earlier one. A release that is still in progress
+/// then is aborted, as it would free the new prefill's state when it arrives late.
+const RELEASE_BEFORE_PREFILL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What may be held for one request.
+/// How far (300 ms) a reservation may exceed its limit before that counts as a violation. The rules allow this much
+/// for sockets.
+const RESERVATION_LIMIT_TOLERANCE: Duration = Duration::from_millis(300);
+
+/// The KV cache state that may be reserved for one request.
+///
+/// A reservation starts when a prefill may have left state behind, and ends when a decode endpoint has fetched the
+/// state or the release of it has started. Its time counts from the end of the last attempt that had reached an
+/// endpoint, as the rules limit only the time for which state waits with no attempt in flight.
 pub struct Reservation {
     upstream: Rc<Upstream>,
-    id: Rc<str>,
-    /// Since when a state may wait at some endpoint with no attempt out; none while none does.
-    waits_since: Option<Instant>,
-    under_way: Option<JoinHandle<()>>,
+    request_id: Rc<str>,
+    /// Since when state may wait at some endpoint with no attempt in flight; none while there is none.
+    reserved_since: Option<Instant>,
+    /// The release in progress. It may have finished.
+    release_task: Option<JoinHandle<()>>,
 }
 
 impl Reservation {
-    /// Nothing is held yet.
-    pub fn new(upstream: Rc<Upstream>, id: Rc<str>) -> Self {
-        Reservation { upstream, id, waits_since: None, under_way: None }
+    /// Nothing is reserved yet.
+    pub fn new(upstream: Rc<Upstream>, request_id: Rc<str>) -> Self {
+        Reservation { upstream, request_id, reserved_since: None, release_task: None }
     }
 
-    /// Whether a state may wait at some endpoint.
-    pub fn any(&self) -> bool {
-        self.waits_since.is_some()
+    /// Whether state may wait at some endpoint.
+    pub fn is_held(&self) -> bool {
+        self.reserved_since.is_some()
     }
 
-    /// A state may wait from now on.
-    pub fn waits(&mut self) {
-        self.waits_since = Some(Instant::now());
+    /// State may wait from now on.
+    pub fn start(&mut self) {
+        self.reserved_since = Some(Instant::now());
     }
 
-    /// An attempt to send the state on has ended after so long: if it had arrived, the state waits from now on.
-    pub fn tried(&mut self, outcome: Outcome, took: Micros) {
-        if outcome.reached_endpoint(took) && self.any() {
-            self.waits();
+    /// An attempt has ended `elapsed` after it was sent. If it had reached its endpoint, any state waits only from
+    /// now on.
+    pub fn attempt_finished(&mut self, outcome: Outcome, elapsed: Micros) {
+        if outcome.reached_endpoint(elapsed) && self.is_held() {
+            self.start();
         }
     }
 
-    /// An endpoint has taken the state.
-    pub fn taken(&mut self) {
-        self.waits_since = None;
+    /// A decode endpoint has fetched the state: nothing is reserved any more.
+    pub fn transferred(&mut self) {
+        self.reserved_since = None;
     }
 
-    /// Starts to let go of all that is held.
+    /// Starts to release whatever is reserved, without waiting for it.
     pub fn release(&mut self) {
-        let Some(since) = self.waits_since.take().filter(|_| self.upstream.has_reservations()) else {
+        let Some(reserved_since) = self.reserved_since.take() else { return };
+        if !self.upstream.has_reservations() {
             return;
-        };
-        tracing::debug!(request_id = %self.id, "releasing reservation");
-        let (upstream, id) = (self.upstream.clone(), self.id.clone());
-        self.under_way = Some(spawn_local(async move {
-            release(upstream.clone(), id.clone()).await;
-            let held = since.elapsed();
-            if held > upstream.max_reservation() + SLACK {
-                upstream.counters().violations_held_too_long.increment();
-                tracing::error!(request_id = %id, reserved_ms = held.as_millis(), "violation: reservation held too long");
-            }
-        }));
+        }
+        tracing::debug!(request_id = %self.request_id, "releasing reservation");
+        let released =
+            release_and_check_limit(self.upstream.clone(), self.request_id.clone(), reserved_since);
+        self.release_task = Some(spawn_local(released));
     }
 
-    /// Before a new read: a `DELETE` frees all that the request holds, so one that arrives late would free the
-    /// new state. It is done, or its connection closed, before the read is sent.
-    pub async fn settle(&mut self) {
+    /// Releases whatever an earlier prefill has reserved, and waits for it.
+    ///
+    /// A `DELETE` frees everything that the request has reserved, so one that arrives late would free the new
+    /// prefill's state. When this returns, the release is complete or its connection is closed.
+    pub async fn release_before_prefill(&mut self) {
         self.release();
-        let Some(call) = &mut self.under_way else { return };
-        if timeout(RELEASE_FIRST, &mut *call).await.is_err() {
-            call.abort();
-            self.waits();
+        let Some(release_task) = &mut self.release_task else { return };
+        if timeout(RELEASE_BEFORE_PREFILL_TIMEOUT, &mut *release_task).await.is_err() {
+            release_task.abort();
+            self.start();
         }
-        self.under_way = None;
+        self.release_task = None;
     }
 
-    /// Lets go of all, whatever the order in which client and planner ended the request.
-    pub async fn end(mut self) {
+    /// Releases whatever is still reserved and waits for it, whichever of client and scheduler ended the request.
+    pub async fn finish(mut self) {
         self.release();
-        if let Some(call) = self.under_way.take() {
-            let _ = call.await;
+        if let Some(release_task) = self.release_task.take() {
+            let _ = release_task.await;
         }
     }
 }
+
+/// Releases a reservation and counts one that lasted longer than the limit.
+async fn release_and_check_limit(upstream: Rc<Upstream>, request_id: Rc<str>, reserved_since: Instant) {
+    release(upstream.clone(), request_id.clone()).await;
+    let reserved = reserved_since.elapsed();
+    if reserved > upstream.max_reservation() + RESERVATION_LIMIT_TOLERANCE {
+        upstream.counters().violations_held_too_long.increment();
+        tracing::error!(request_id = %request_id, reserved_ms = reserved.as_millis(), "violation: reservation held too long");
+    }
+}
