--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -299,8 +299,15 @@
         self.core.counters.attempt_ended(outcome);
         let took = attempt.took();
         tracing::debug!(request_id = %self.id, attempt = attempt.id.0, ?outcome, elapsed_us = took, cached_tokens = kept, "attempt finished");
-        let end = AttemptSummary { cached_tokens: kept, elapsed: took, load_report: load };
-        self.handle.attempt_finished(attempt.id, attempt.send.endpoint, outcome, self.over, end);
+        self.handle.attempt_finished(AttemptSummary {
+            attempt: attempt.id,
+            endpoint: attempt.send.endpoint,
+            outcome,
+            is_final: self.over,
+            cached_tokens: kept,
+            elapsed: took,
+            load_report: load,
+        });
         if self.over { Next::Final } else { Next::Decision }
     }
 
