--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -1,426 +1,195 @@
-//! The life of one request, from intake to its one final answer.
+//! The task of one request: it carries out the scheduler's commands and ends with one final answer.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
+use super::attempt::{NextStep, StartedStream};
+use super::reservation::Reservation;
+use super::responder::{Responder, RoutedResponse};
 use crate::clock::duration_from_micros;
-use crate::request::relay::{self, Forwarded};
-use crate::request::reservation::Reservation;
 use crate::routing_context::RoutingContext;
-use crate::scheduler::{AttemptId, LoadReport, Micros, Outcome, RequestSpec};
-use crate::scheduler_handle::{AttemptSummary, RequestCommand, RequestHandle, SendCommand};
-use crate::upstream::event_stream::{ContentKind, EventStream, StreamBroken, StreamChunk};
-use crate::upstream::exchange::{AttemptResponse, RequestPayload};
-use crate::upstream::send_gate::{AttemptDeadlines, SendGate};
+use crate::scheduler::{Micros, Outcome, RequestSpec};
+use crate::scheduler_handle::{RequestCommand, RequestHandle, SendCommand};
+use crate::upstream::exchange::RequestPayload;
+use crate::upstream::send_gate::SendGate;
 
-/// Past the deadline, after which a request without a decision is answered as failed. The rules allow more.
-const OVERDUE: Duration = Duration::from_millis(15);
+/// How long (15 ms) past its deadline a request without a decision is failed by its own task. The rules allow more,
+/// and a scheduler that works has decided by then.
+const OVERDUE_GRACE: Duration = Duration::from_millis(15);
 
-/// Past the deadline, after which a final answer counts as lost.
-const LATE_MOST: Duration = Duration::from_millis(500);
+/// How far (500 ms) past its deadline a final answer may come before it counts as a violation.
+const MAX_ANSWER_LATENESS: Duration = Duration::from_millis(500);
 
-/// A request's answer, for a front to put into its own words.
-pub enum RoutedResponse {
-    /// A stream or a whole answer of one endpoint.
-    Body {
-        /// What the endpoint said that it is.
-        form: ContentKind,
-        /// Its bytes as they come.
-        pieces: mpsc::Receiver<StreamChunk>,
-    },
-    /// Refused: trying again is harmless.
-    Rejected {
-        /// When to come back.
-        retry_after: Option<Micros>,
-    },
-    /// Failed.
-    Failed,
-}
-
-/// The way back to the client. It shows when the client leaves.
-pub struct Responder(Option<oneshot::Sender<RoutedResponse>>);
-
-impl Responder {
-    /// A caller, and where its front waits for the answer.
-    pub fn new() -> (Self, oneshot::Receiver<RoutedResponse>) {
-        let (sender, receiver) = oneshot::channel();
-        (Responder(Some(sender)), receiver)
-    }
-
-    /// Waits until the client leaves; never ends once it has its answer.
-    async fn client_disconnected(&mut self) {
-        match &mut self.0 {
-            Some(sender) => sender.closed().await,
-            None => std::future::pending().await,
-        }
-    }
-
-    /// Whether the client is there and has no answer.
-    fn client_waits(&self) -> bool {
-        self.0.as_ref().is_some_and(|sender| !sender.is_closed())
-    }
-
-    /// Gives the final answer, once; false when the client has left.
-    fn respond(&mut self, answer: RoutedResponse) -> bool {
-        self.0.take().is_some_and(|sender| sender.send(answer).is_ok())
-    }
-}
-
-/// What a request's task wakes up for.
-enum Wake {
+/// What a request's task reacts to before its stream begins.
+pub(super) enum TaskEvent {
+    /// The scheduler's next command.
     Command(RequestCommand),
-    ClientLeft,
+    /// The client disconnected before it had its answer.
+    ClientDisconnected,
+    /// The deadline has passed without a decision.
     Overdue,
 }
 
-/// One attempt that is out, for its outcome and the log.
-#[derive(Clone, Copy)]
-struct Attempt {
-    id: AttemptId,
-    send: SendCommand,
-    begun: Instant,
-}
-
-impl Attempt {
-    /// Time since it was sent.
-    fn took(&self) -> Micros {
-        self.begun.elapsed().as_micros() as Micros
-    }
-}
-
-/// What follows after an attempt.
-enum Next {
-    /// The planner decides on.
-    Decision,
-    /// The request has its final answer.
-    Final,
-    /// The stream has begun.
-    Stream(Box<EventStream>, Attempt),
-}
-
-/// One request on its way: it owns the request's place at the planner, the way back to its client, and what is held
-/// for it.
-struct RequestTask {
-    core: RoutingContext,
-    id: Rc<str>,
-    handle: RequestHandle,
-    caller: Responder,
-    reservation: Reservation,
-    gate: Rc<SendGate>,
-    deadline: Instant,
-    /// Its answer comes in one piece.
-    whole: bool,
-    attempts: u32,
-    last_outcome: Option<Outcome>,
-    /// The client needs no answer any more; the planner has been told so.
-    over: bool,
+/// One request in progress. It owns the request's place at the scheduler, the way back to its client, and whatever is
+/// reserved for it.
+pub(super) struct RequestTask {
+    pub(super) context: RoutingContext,
+    pub(super) id: Rc<str>,
+    pub(super) scheduler: RequestHandle,
+    pub(super) responder: Responder,
+    pub(super) reservation: Reservation,
+    pub(super) gate: Rc<SendGate>,
+    /// When the client gives this try up.
+    pub(super) deadline: Instant,
+    /// Its answer is one response, not a stream.
+    pub(super) unary: bool,
+    /// Attempts so far, which is also the next attempt's id.
+    pub(super) attempts: u32,
+    pub(super) last_outcome: Option<Outcome>,
+    /// Nothing more is owed to the client, as it has its final answer or has disconnected. No attempt starts any more,
+    /// and one that is in progress is the last.
+    pub(super) settled: bool,
 }
 
-/// Lives one request through. The planner decides at each point of choice; exactly one final answer goes to the
-/// caller, and nothing stays held or sent when this ends. `room` is what the payload takes up, given back with it.
-pub async fn run_request<R>(
-    core: RoutingContext, ask: RequestSpec, (payload, room): (RequestPayload, R), caller: Responder,
-) {
-    let id = payload.id.clone();
-    tracing::debug!(request_id = %id, prompt_tokens = ask.prompt_tokens, prefix_tokens = ask.prefix_tokens, remaining_ms = ask.client_timeout / 1_000, "request accepted");
-    core.counters.taken.increment();
-    let mut task = RequestTask {
-        reservation: Reservation::new(core.upstream.clone(), id.clone()),
-        gate: Rc::new(SendGate::new(core.counters.clone())),
-        deadline: Instant::now() + duration_from_micros(ask.client_timeout),
-        whole: ask.unary,
-        handle: core.scheduler.submit(ask),
-        attempts: 0,
-        last_outcome: None,
-        over: false,
-        core,
-        id,
-        caller,
-    };
-    if let Some((events, attempt)) = task.until_stream(&payload).await {
-        // It is never sent again, so the payload, far larger than the events that wait, goes now.
-        drop((payload, room));
-        task.stream(events, attempt).await;
-    }
-    if task.caller.client_waits() {
-        task.core.counters.violations_unanswered.increment();
-        tracing::error!(request_id = %task.id, "violation: request ended without an answer");
+impl RequestTask {
+    /// Accepts a request and submits it to the scheduler.
+    pub(super) fn accept(
+        context: RoutingContext, spec: RequestSpec, id: Rc<str>, responder: Responder,
+    ) -> Self {
+        tracing::debug!(request_id = %id, prompt_tokens = spec.prompt_tokens, prefix_tokens = spec.prefix_tokens, remaining_ms = spec.client_timeout / 1_000, "request accepted");
+        context.counters.taken.increment();
+        RequestTask {
+            reservation: Reservation::new(context.upstream.clone(), id.clone()),
+            gate: Rc::new(SendGate::new(context.counters.clone())),
+            deadline: Instant::now() + duration_from_micros(spec.client_timeout),
+            unary: spec.unary,
+            scheduler: context.scheduler.submit(spec),
+            attempts: 0,
+            last_outcome: None,
+            settled: false,
+            context,
+            id,
+            responder,
+        }
     }
-    task.reservation.finish().await;
-}
 
-impl RequestTask {
-    /// Follows the planner's decisions until the request has its final answer, or its stream begins.
-    async fn until_stream(&mut self, payload: &RequestPayload) -> Option<(Box<EventStream>, Attempt)> {
+    /// Follows the scheduler's decisions until the request is over (none) or its stream begins.
+    pub(super) async fn run_until_stream(&mut self, payload: &RequestPayload) -> Option<StartedStream> {
         while let Some(send) = self.next_send().await {
-            match self.attempt(send, payload).await {
-                Next::Decision => {}
-                Next::Final => return None,
-                Next::Stream(events, attempt) => return Some((events, attempt)),
+            match self.run_attempt(send, payload).await {
+                NextStep::AwaitCommand => {}
+                NextStep::Finish => return None,
+                NextStep::Forward(stream) => return Some(stream),
             }
         }
         None
     }
 
-    /// What comes first: the planner's order, the client's leaving, or the end of its time.
-    async fn wake(&mut self) -> Wake {
+    /// Ends the task: checks that the client has its answer, and waits until nothing is reserved any more. Only then
+    /// does the scheduler learn that the task has ended.
+    pub(super) async fn finish(self) {
+        if self.responder.client_waits() {
+            self.context.counters.violations_unanswered.increment();
+            tracing::error!(request_id = %self.id, "violation: request ended without an answer");
+        }
+        self.reservation.finish().await;
+    }
+
+    /// Waits for whatever comes first. A command that is ready goes before the client's disconnect, and that before
+    /// the deadline.
+    pub(super) async fn next_event(&mut self) -> TaskEvent {
         tokio::select! {
             biased;
-            order = self.handle.next_command() => Wake::Command(order),
-            () = self.caller.client_disconnected(), if !self.over => Wake::ClientLeft,
-            () = sleep_until(self.deadline + OVERDUE), if !self.over => Wake::Overdue,
+            command = self.scheduler.next_command() => TaskEvent::Command(command),
+            () = self.responder.client_disconnected(), if !self.settled => TaskEvent::ClientDisconnected,
+            () = sleep_until(self.deadline + OVERDUE_GRACE), if !self.settled => TaskEvent::Overdue,
         }
     }
 
-    /// Held: the planner says when to go where; none once the request has its final answer.
+    /// Waits, with no attempt in flight, until the scheduler sends the request somewhere; none once it is over.
     async fn next_send(&mut self) -> Option<SendCommand> {
         loop {
-            match self.wake().await {
-                Wake::Command(RequestCommand::Send(send)) => return Some(send),
-                Wake::Command(RequestCommand::Reject(retry_after)) => {
-                    self.answer(RoutedResponse::Rejected { retry_after });
+            match self.next_event().await {
+                TaskEvent::Command(RequestCommand::Send(send)) => return Some(send),
+                TaskEvent::Command(RequestCommand::Reject(retry_after)) => {
+                    self.reject(retry_after);
                     return None;
                 }
-                Wake::Command(RequestCommand::Fail) => {
-                    self.answer(RoutedResponse::Failed);
+                TaskEvent::Command(RequestCommand::Fail) => {
+                    self.fail();
                     return None;
                 }
-                Wake::Command(RequestCommand::ReleaseReservation) => self.reservation.release(),
-                Wake::Command(RequestCommand::Forgotten) => return None,
-                Wake::Command(RequestCommand::Cancel(_) | RequestCommand::Migrate) => {}
-                Wake::ClientLeft => self.client_left(),
-                Wake::Overdue => self.overdue(),
+                TaskEvent::Command(RequestCommand::ReleaseReservation) => self.reservation.release(),
+                TaskEvent::Command(RequestCommand::Forgotten) => return None,
+                TaskEvent::Command(RequestCommand::Cancel(_) | RequestCommand::Migrate) => {}
+                TaskEvent::ClientDisconnected => self.client_disconnected(),
+                TaskEvent::Overdue => self.fail_overdue(),
             }
         }
     }
 
-    /// Gives the planner's final answer to the client, if it still waits for one.
-    fn answer(&mut self, answer: RoutedResponse) {
-        if self.over {
+    /// Answers with the scheduler's rejection, if the client still waits for an answer.
+    pub(super) fn reject(&mut self, retry_after: Option<Micros>) {
+        if self.settled {
             return;
         }
-        let counters = self.core.counters.clone();
-        let (given, word) = match answer {
-            RoutedResponse::Rejected { .. } => (&counters.refused, "refused"),
-            _ => (&counters.failed, "failed"),
-        };
-        self.log_answer(word);
-        let counter = if self.caller.respond(answer) { given } else { &counters.left };
-        counter.increment();
-    }
-
-    /// Logs a final answer with what led to it, and counts one that comes too late.
-    fn log_answer(&self, word: &str) {
-        let now = Instant::now();
-        let (left, late) =
-            (self.deadline.saturating_duration_since(now), now.saturating_duration_since(self.deadline));
-        let last = self.last_outcome.map_or("none".to_owned(), |outcome| format!("{outcome:?}"));
-        tracing::debug!(request_id = %self.id, answer = word, attempts = self.attempts, last_outcome = last, remaining_ms = left.as_millis(), "request answered");
-        if late > LATE_MOST {
-            self.core.counters.violations_answered_late.increment();
-            tracing::error!(request_id = %self.id, answer = word, late_ms = late.as_millis(), "violation: request answered too late");
+        self.log_answer("refused");
+        if self.responder.respond(RoutedResponse::Rejected { retry_after }) {
+            self.context.counters.refused.increment();
+        } else {
+            self.context.counters.left.increment();
         }
     }
 
-    fn client_left(&mut self) {
-        tracing::debug!(request_id = %self.id, "client disconnected");
-        self.core.counters.left.increment();
-        self.end_early();
-    }
-
-    /// The planner has not ended it in time.
-    fn overdue(&mut self) {
-        tracing::error!(request_id = %self.id, "no decision by the deadline");
-        self.core.counters.overdue.increment();
-        self.log_answer("failed");
-        self.caller.respond(RoutedResponse::Failed);
-        self.end_early();
-    }
-
-    /// No answer is needed any more; the planner forgets the request.
-    fn end_early(&mut self) {
-        self.over = true;
-        self.gate.close();
-        self.handle.client_disconnected();
-    }
-
-    /// One attempt, until it ends, is withdrawn, or its stream begins.
-    async fn attempt(&mut self, send: SendCommand, payload: &RequestPayload) -> Next {
-        let attempt = Attempt { id: AttemptId(self.attempts), send, begun: Instant::now() };
-        self.attempts += 1;
-        tracing::debug!(request_id = %self.id, attempt = attempt.id.0, endpoint = send.endpoint.0, timeout_us = send.timeout, "attempt started");
-        if self.over {
-            return self.ended(&attempt, Outcome::Abandoned, (0.0, None));
-        }
-        let prefill = self.core.upstream.prefills(send.endpoint);
-        if prefill && !self.release_before_read().await {
-            return self.ended(&attempt, Outcome::Abandoned, (0.0, None));
-        }
-        let (first, load) = self.until_first_event(&attempt, payload).await;
-        match first {
-            AttemptResponse::Streaming(events) => Next::Stream(events, attempt),
-            AttemptResponse::Prefilled(kept) => {
-                self.reservation.start();
-                self.ended(&attempt, Outcome::Prefilled, (kept, load))
-            }
-            AttemptResponse::Finished(outcome) => {
-                let ran = !outcome.excludes_execution();
-                if prefill && ran {
-                    // Guards the pin limit: the prompt may have been read although the answer was lost.
-                    self.reservation.start();
-                    self.reservation.release();
-                }
-                self.reservation.attempt_finished(outcome, attempt.took());
-                self.ended(&attempt, outcome, (0.0, load))
-            }
+    /// Answers with the scheduler's failure, if the client still waits for an answer.
+    pub(super) fn fail(&mut self) {
+        if self.settled {
+            return;
         }
-    }
-
-    /// Lets go of an earlier read's state before the next read; false when the client leaves meanwhile.
-    async fn release_before_read(&mut self) -> bool {
-        let left = tokio::select! {
-            () = self.reservation.release_before_prefill() => false,
-            () = self.caller.client_disconnected() => true,
-        };
-        if left {
-            self.client_left();
+        self.log_answer("failed");
+        if self.responder.respond(RoutedResponse::Failed) {
+            self.context.counters.failed.increment();
+        } else {
+            self.context.counters.left.increment();
         }
-        !left
-    }
-
-    /// Tells the planner how an attempt ended.
-    fn ended(
-        &mut self, attempt: &Attempt, outcome: Outcome, (kept, load): (f64, Option<LoadReport>),
-    ) -> Next {
-        self.last_outcome = Some(outcome);
-        self.core.counters.attempt_ended(outcome);
-        let took = attempt.took();
-        tracing::debug!(request_id = %self.id, attempt = attempt.id.0, ?outcome, elapsed_us = took, cached_tokens = kept, "attempt finished");
-        self.handle.attempt_finished(AttemptSummary {
-            attempt: attempt.id,
-            endpoint: attempt.send.endpoint,
-            outcome,
-            is_final: self.over,
-            cached_tokens: kept,
-            elapsed: took,
-            load_report: load,
-        });
-        if self.over { Next::Final } else { Next::Decision }
     }
 
-    /// One attempt up to its first event. A client that leaves is told to the planner, which withdraws the attempt.
-    async fn until_first_event(
-        &mut self, attempt: &Attempt, payload: &RequestPayload,
-    ) -> (AttemptResponse, Option<LoadReport>) {
-        let withdrawn = (AttemptResponse::Finished(Outcome::Cancelled), None);
-        let times = AttemptDeadlines {
-            response_deadline: (attempt.begun + duration_from_micros(attempt.send.timeout))
-                .min(self.deadline),
-            start_deadline: attempt
-                .send
-                .start_within
-                .map(|within| attempt.begun + duration_from_micros(within)),
-            reserved: self.reservation.is_held(),
-        };
-        let (upstream, gate) = (self.core.upstream.clone(), self.gate.clone());
-        let first = upstream.run_attempt(attempt.send.endpoint, payload, times, &gate);
-        tokio::pin!(first);
-        loop {
-            let wake = tokio::select! {
-                biased;
-                wake = self.wake() => wake,
-                done = &mut first => return done,
-            };
-            match wake {
-                Wake::Command(RequestCommand::Cancel(which)) if which == attempt.id => return withdrawn,
-                // The planner has ended it while an attempt is out: answer, and give the attempt up.
-                Wake::Command(RequestCommand::Reject(retry_after)) => {
-                    self.answer(RoutedResponse::Rejected { retry_after });
-                    self.over = true;
-                    return withdrawn;
-                }
-                Wake::Command(RequestCommand::Fail) => {
-                    self.answer(RoutedResponse::Failed);
-                    self.over = true;
-                    return withdrawn;
-                }
-                Wake::Command(_) => {}
-                Wake::ClientLeft => self.client_left(),
-                Wake::Overdue => self.overdue(),
-            }
-            // An endpoint need not take a withdrawal; what it has not been sent it is spared all the same.
-            if self.over && !self.gate.attempt_in_flight() {
-                return (AttemptResponse::Finished(Outcome::Abandoned), None);
-            }
-        }
+    /// Answers with a failure of the task's own, as the scheduler has not decided in time.
+    pub(super) fn fail_overdue(&mut self) {
+        tracing::error!(request_id = %self.id, "no decision by the deadline");
+        self.context.counters.overdue.increment();
+        self.log_answer("failed");
+        self.responder.respond(RoutedResponse::Failed);
+        self.settle_without_scheduler();
     }
 
-    /// Passes the stream on: it is this client's from its first event on, and no deadline runs any more.
-    async fn stream(&mut self, mut events: Box<EventStream>, attempt: Attempt) {
-        self.reservation.transferred();
-        if !self.whole {
-            // A whole answer tells nothing of the time to a first token.
-            let took = attempt.took();
-            tracing::debug!(request_id = %self.id, attempt = attempt.id.0, elapsed_us = took, "stream started");
-            self.handle.first_token(attempt.id, attempt.send.endpoint, took);
-        }
-        let (pieces, receiver) = mpsc::channel(relay::WAITING);
-        let form = events.kind().clone();
-        let passed = if self.over || !self.caller.respond(RoutedResponse::Body { form, pieces: receiver }) {
-            Forwarded::ClientLeft
-        } else {
-            tokio::select! {
-                passed = relay::pass(&mut events, &pieces) => passed,
-                () = moved(&mut self.handle) => {
-                    // The client comes again for the rest.
-                    let _ = pieces.try_send(Err(StreamBroken::Cut));
-                    Forwarded::Broken(StreamBroken::Cut)
-                }
-            }
-        };
-        drop((events, pieces));
-        let outcome = self.streamed(passed);
-        self.over = true;
-        self.ended(&attempt, outcome, (0.0, None));
+    /// The client disconnected before it had its answer.
+    pub(super) fn client_disconnected(&mut self) {
+        tracing::debug!(request_id = %self.id, "client disconnected");
+        self.context.counters.left.increment();
+        self.settle_without_scheduler();
     }
 
-    /// Counts how a stream ended.
-    fn streamed(&mut self, passed: Forwarded) -> Outcome {
-        let counters = self.core.counters.clone();
-        match passed {
-            Forwarded::Complete => {
-                counters.served.increment();
-                Outcome::Completed
-            }
-            Forwarded::Broken(how) => {
-                counters.broken.increment();
-                if how == StreamBroken::Malformed { Outcome::Malformed } else { Outcome::ConnectionLost }
-            }
-            Forwarded::Failed => {
-                counters.failed.increment();
-                Outcome::Error
-            }
-            Forwarded::ClientLeft => {
-                if !self.over {
-                    self.client_left();
-                }
-                Outcome::Cancelled
-            }
-        }
+    /// No answer is needed any more and the scheduler has not decided so: nothing further is sent, and the scheduler
+    /// forgets the request.
+    fn settle_without_scheduler(&mut self) {
+        self.settled = true;
+        self.gate.close();
+        self.scheduler.client_disconnected();
     }
-}
 
-/// Waits for an order to move the stream.
-async fn moved(handle: &mut RequestHandle) {
-    loop {
-        match handle.next_command().await {
-            RequestCommand::Migrate => return,
-            // The planner's end is the process's end; the stream goes on until then.
-            RequestCommand::Fail => std::future::pending().await,
-            _ => {}
+    /// Logs a final answer with what led to it, and counts one that comes too late.
+    fn log_answer(&self, answer: &str) {
+        let now = Instant::now();
+        let remaining = self.deadline.saturating_duration_since(now);
+        let lateness = now.saturating_duration_since(self.deadline);
+        let last_outcome = self.last_outcome.map_or("none".to_owned(), |outcome| format!("{outcome:?}"));
+        tracing::debug!(request_id = %self.id, answer, attempts = self.attempts, last_outcome, remaining_ms = remaining.as_millis(), "request answered");
+        if lateness > MAX_ANSWER_LATENESS {
+            self.context.counters.violations_answered_late.increment();
+            tracing::error!(request_id = %self.id, answer, late_ms = lateness.as_millis(), "violation: request answered too late");
         }
     }
 }
--- a/src/request/reservation.rs
+++ b/src/request/reservation.rs
@@ -23,7 +23,7 @@
 /// A reservation starts when a prefill may have left state behind, and ends when a decode endpoint has fetched the
 /// state or the release of it has started. Its time counts from the end of the last attempt that had reached an
 /// endpoint, as the rules limit only the time for which state waits with no attempt in flight.
-pub struct Reservation {
+pub(super) struct Reservation {
     upstream: Rc<Upstream>,
     request_id: Rc<str>,
     /// Since when state may wait at some endpoint with no attempt in flight; none while there is none.
@@ -34,35 +34,35 @@
 
 impl Reservation {
     /// Nothing is reserved yet.
-    pub fn new(upstream: Rc<Upstream>, request_id: Rc<str>) -> Self {
+    pub(super) fn new(upstream: Rc<Upstream>, request_id: Rc<str>) -> Self {
         Reservation { upstream, request_id, reserved_since: None, release_task: None }
     }
 
     /// Whether state may wait at some endpoint.
-    pub fn is_held(&self) -> bool {
+    pub(super) fn is_held(&self) -> bool {
         self.reserved_since.is_some()
     }
 
     /// State may wait from now on.
-    pub fn start(&mut self) {
+    pub(super) fn start(&mut self) {
         self.reserved_since = Some(Instant::now());
     }
 
     /// An attempt has ended `elapsed` after it was sent. If it had reached its endpoint, any state waits only from
     /// now on.
-    pub fn attempt_finished(&mut self, outcome: Outcome, elapsed: Micros) {
+    pub(super) fn attempt_finished(&mut self, outcome: Outcome, elapsed: Micros) {
         if outcome.reached_endpoint(elapsed) && self.is_held() {
             self.start();
         }
     }
 
     /// A decode endpoint has fetched the state: nothing is reserved any more.
-    pub fn transferred(&mut self) {
+    pub(super) fn transferred(&mut self) {
         self.reserved_since = None;
     }
 
     /// Starts to release whatever is reserved, without waiting for it.
-    pub fn release(&mut self) {
+    pub(super) fn release(&mut self) {
         let Some(reserved_since) = self.reserved_since.take() else { return };
         if !self.upstream.has_reservations() {
             return;
@@ -77,7 +77,7 @@
     ///
     /// A `DELETE` frees everything that the request has reserved, so one that arrives late would free the new
     /// prefill's state. When this returns, the release is complete or its connection is closed.
-    pub async fn release_before_prefill(&mut self) {
+    pub(super) async fn release_before_prefill(&mut self) {
         self.release();
         let Some(release_task) = &mut self.release_task else { return };
         if timeout(RELEASE_BEFORE_PREFILL_TIMEOUT, &mut *release_task).await.is_err() {
@@ -88,7 +88,7 @@
     }
 
     /// Releases whatever is still reserved and waits for it, whichever of client and scheduler ended the request.
-    pub async fn finish(mut self) {
+    pub(super) async fn finish(mut self) {
         self.release();
         if let Some(release_task) = self.release_task.take() {
             let _ = release_task.await;
--- a/src/server/chat_api.rs
+++ b/src/server/chat_api.rs
@@ -20,7 +20,7 @@
 };
 use crate::config::ChatConfig;
 use crate::metrics::Counters;
-use crate::request::lifecycle::RoutedResponse;
+use crate::request::RoutedResponse;
 use crate::routing_context::RoutingContext;
 use crate::scheduler::*;
 use crate::shutdown::Shutdown;
@@ -245,16 +245,18 @@
         let streamed = !ask.unary;
         let answer = begin(&self.core, ask, (payload, room), self.shutdown.guard());
         let mut reply = match answer.await {
-            Ok(RoutedResponse::Body { form, pieces }) if streamed && form.is_event_stream() => {
+            Ok(RoutedResponse::Body { kind: form, chunks: pieces }) if streamed && form.is_event_stream() => {
                 let mut reply = Response::new(Either::Right(StreamBody::new(pieces)));
                 form.content_type.map(|kind| reply.headers_mut().insert(CONTENT_TYPE, kind));
                 reply
             }
             // Nothing of a whole answer is shown before it is known to be whole.
-            Ok(RoutedResponse::Body { form, pieces }) => match StreamBody::new(pieces).whole().await {
-                Ok(text) => whole(form.status, form.content_type, text),
-                Err(_) => ChatError::Failed.reply(),
-            },
+            Ok(RoutedResponse::Body { kind: form, chunks: pieces }) => {
+                match StreamBody::new(pieces).whole().await {
+                    Ok(text) => whole(form.status, form.content_type, text),
+                    Err(_) => ChatError::Failed.reply(),
+                }
+            }
             Ok(RoutedResponse::Rejected { retry_after }) => ChatError::Refused(retry_after).reply(),
             Ok(RoutedResponse::Failed) | Err(_) => ChatError::Failed.reply(),
         };
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -27,7 +27,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::metrics::Counters;
-use crate::request::lifecycle::{Responder, RoutedResponse, run_request};
+use crate::request::{AllocatedPayload, Responder, RoutedResponse, run_request};
 use crate::routing_context::RoutingContext;
 use crate::scheduler::{Capabilities, Micros, RequestSpec};
 use crate::shutdown::Shutdown;
@@ -125,8 +125,9 @@
 ) -> oneshot::Receiver<RoutedResponse> {
     let (caller, answer) = Responder::new();
     let core = core.clone();
+    let (payload, allocation) = payload;
     spawn_local(async move {
-        run_request(core, ask, payload, caller).await;
+        run_request(core, ask, AllocatedPayload { payload, allocation }, caller).await;
         drop(keep);
     });
     answer
--- a/src/server/platform_api.rs
+++ b/src/server/platform_api.rs
@@ -19,7 +19,7 @@
     RequestHandler, ServerResponse, StreamBody, begin, set_retry_after, shed_wait, takes_nothing_new,
 };
 use crate::metrics::Counters;
-use crate::request::lifecycle::RoutedResponse;
+use crate::request::RoutedResponse;
 use crate::routing_context::RoutingContext;
 use crate::scheduler::*;
 use crate::shutdown::Shutdown;
@@ -195,7 +195,7 @@
         let payload = RequestPayload { id, target, content_type, idempotency_key, body };
         let answer = begin(&self.core, ask, (payload, room), (open, self.shutdown.guard()));
         Ok(match answer.await {
-            Ok(RoutedResponse::Body { form, pieces }) => stream(form.content_type, pieces),
+            Ok(RoutedResponse::Body { kind: form, chunks: pieces }) => stream(form.content_type, pieces),
             Ok(RoutedResponse::Rejected { retry_after }) => refusal(retry_after),
             Ok(RoutedResponse::Failed) | Err(_) => {
                 plain(StatusCode::BAD_GATEWAY, "the request failed and may have run\n")
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -7,7 +7,7 @@
 use hyper::http::uri::PathAndQuery;
 use inference_router::clock::{Clock, duration_from_micros};
 use inference_router::metrics::Counters;
-use inference_router::request::lifecycle::{Responder, run_request};
+use inference_router::request::{AllocatedPayload, Responder, run_request};
 use inference_router::routing_context::RoutingContext;
 use inference_router::scheduler::*;
 use inference_router::scheduler_handle::SchedulerHandle;
@@ -91,7 +91,8 @@
     let core = core(&listener);
     let taken = take_room(&core, &listener).await;
     let (caller, answer) = Responder::new();
-    let life = spawn_local(run_request(core.clone(), rig::ask(1), (payload(), ()), caller));
+    let allocated = AllocatedPayload { payload: payload(), allocation: () };
+    let life = spawn_local(run_request(core.clone(), rig::ask(1), allocated, caller));
     attempt_waits(&core).await;
     drop(answer);
     while core.counters.left.get() == 0 {
@@ -122,7 +123,8 @@
     }
     let core = core(&listener);
     let (caller, answer) = Responder::new();
-    let life = spawn_local(run_request(core.clone(), rig::ask(1), (payload(), ()), caller));
+    let allocated = AllocatedPayload { payload: payload(), allocation: () };
+    let life = spawn_local(run_request(core.clone(), rig::ask(1), allocated, caller));
     attempt_waits(&core).await;
     drop(answer);
     timeout(PATIENCE, life).await.expect("it ends").expect("it ends well");
