--- a/src/routing_context.rs
+++ b/src/routing_context.rs
@@ -1,35 +1,42 @@
-//! What the requests of one API share: the scheduler, the endpoints and the metrics.
+//! What all requests of one API share: the scheduler, the endpoints and the counters.
 
 use std::rc::Rc;
 
-use crate::{metrics, scheduler_handle, upstream};
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::task::spawn_local;
 
-/// One fleet with its planner: all that the requests of one front need.
+use crate::metrics::Counters;
+use crate::scheduler::EndpointId;
+use crate::scheduler_handle::{FleetCommand, SchedulerHandle};
+use crate::upstream::exchange::Upstream;
+
+/// One fleet of endpoints with its scheduler. Clones share all of it.
 #[derive(Clone)]
 pub struct RoutingContext {
-    /// Decides.
-    pub scheduler: scheduler_handle::SchedulerHandle,
+    /// Makes every decision.
+    pub scheduler: SchedulerHandle,
     /// Talks to the endpoints.
-    pub upstream: Rc<upstream::exchange::Upstream>,
-    /// Counts.
-    pub counters: Rc<metrics::Counters>,
+    pub upstream: Rc<Upstream>,
+    /// Counts what happens.
+    pub counters: Rc<Counters>,
 }
 
-/// Carries out what a planner wants of the fleet as a whole.
-pub async fn run_fleet_commands(
-    core: RoutingContext, mut orders: tokio::sync::mpsc::UnboundedReceiver<scheduler_handle::FleetCommand>,
-) {
-    while let Some(order) = orders.recv().await {
-        match order {
-            scheduler_handle::FleetCommand::CloseIdleConnections(endpoint) => {
-                core.upstream.pool().close_idle(endpoint)
-            }
-            scheduler_handle::FleetCommand::HealthCheck(endpoint) => {
-                let core = core.clone();
-                tokio::task::spawn_local(async move {
-                    let (outcome, load) = core.upstream.health_check(endpoint).await;
-                    core.scheduler.health_checked(endpoint, outcome, load);
-                });
+impl RoutingContext {
+    /// Checks an endpoint's health and load, and reports it to the scheduler.
+    async fn check_health(self, endpoint: EndpointId) {
+        let (outcome, load_report) = self.upstream.health_check(endpoint).await;
+        self.scheduler.health_checked(endpoint, outcome, load_report);
+    }
+}
+
+/// Carries out what the scheduler wants of the fleet, until the scheduler ends.
+pub async fn run_fleet_commands(context: RoutingContext, mut commands: UnboundedReceiver<FleetCommand>) {
+    while let Some(command) = commands.recv().await {
+        match command {
+            FleetCommand::CloseIdleConnections(endpoint) => context.upstream.pool().close_idle(endpoint),
+            FleetCommand::HealthCheck(endpoint) => {
+                // In a task of its own, so that an endpoint that does not respond delays no other command.
+                spawn_local(context.clone().check_health(endpoint));
             }
         }
     }
