--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -104,8 +104,8 @@
             }
             AttemptResponse::Finished(outcome) => {
                 if is_prefill && !outcome.excludes_execution() {
-                    // The prompt may have been prefilled although the response was lost. The state must not stay
-                    // reserved past its limit.
+                    // The prompt may have been prefilled although the response was lost. The state must not
+                    // stay reserved past its limit.
                     self.reservation.start();
                     self.reservation.release();
                 }
@@ -119,7 +119,13 @@
     fn start_attempt(&mut self, send: SendCommand) -> Attempt {
         let attempt = Attempt { id: AttemptId(self.attempts), send, started_at: Instant::now() };
         self.attempts += 1;
-        tracing::debug!(request_id = %self.id, attempt = attempt.id.0, endpoint = send.endpoint.0, timeout_us = send.timeout, "attempt started");
+        tracing::debug!(
+            request_id = %self.id,
+            attempt = attempt.id.0,
+            endpoint = send.endpoint.0,
+            timeout_us = send.timeout,
+            "attempt started"
+        );
         attempt
     }
 
@@ -129,7 +135,14 @@
         self.last_outcome = Some(outcome);
         self.context.counters.attempt_ended(outcome);
         let elapsed = attempt.elapsed();
-        tracing::debug!(request_id = %self.id, attempt = attempt.id.0, ?outcome, elapsed_us = elapsed, cached_tokens, "attempt finished");
+        tracing::debug!(
+            request_id = %self.id,
+            attempt = attempt.id.0,
+            ?outcome,
+            elapsed_us = elapsed,
+            cached_tokens,
+            "attempt finished"
+        );
         self.scheduler.attempt_finished(AttemptSummary {
             attempt: attempt.id,
             endpoint: attempt.send.endpoint,
@@ -154,8 +167,8 @@
         !client_disconnected
     }
 
-    /// Sends an attempt and waits for its first event. Meanwhile the scheduler may cancel the attempt; a client that
-    /// disconnects is reported to the scheduler, which decides whether to do so.
+    /// Sends an attempt and waits for its first event. Meanwhile the scheduler may cancel the attempt; a
+    /// client that disconnects is reported to the scheduler, which decides whether to do so.
     async fn first_response(&mut self, attempt: &Attempt, payload: &RequestPayload) -> FirstResponse {
         let deadlines = AttemptDeadlines {
             response_deadline: attempt.response_deadline(self.deadline),
@@ -175,7 +188,7 @@
             if self.handle_during_attempt(&event, attempt.id).is_break() {
                 return FirstResponse::stopped(Outcome::Cancelled);
             }
-            // An endpoint may not support cancellation, but an attempt that has not been sent yet is not sent at all.
+            // Not every endpoint supports cancellation, but what has not been sent yet is not sent at all.
             if self.settled && !self.gate.attempt_in_flight() {
                 return FirstResponse::stopped(Outcome::Abandoned);
             }
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -15,8 +15,8 @@
 use crate::upstream::exchange::RequestPayload;
 use crate::upstream::send_gate::SendGate;
 
-/// How long (15 ms) past its deadline a request without a decision is failed by its own task. The rules allow more,
-/// and a scheduler that works has decided by then.
+/// How long (15 ms) past its deadline a request without a decision is failed by its own task. The rules allow
+/// more, and a scheduler that works has decided by then.
 const OVERDUE_GRACE: Duration = Duration::from_millis(15);
 
 /// How far (500 ms) past its deadline a final answer may come before it counts as a violation.
@@ -32,8 +32,8 @@
     Overdue,
 }
 
-/// One request in progress. It owns the request's place at the scheduler, the way back to its client, and whatever is
-/// reserved for it.
+/// One request in progress. It owns the request's place at the scheduler, the way back to its client, and
+/// whatever is reserved for it.
 pub(super) struct RequestTask {
     pub(super) context: RoutingContext,
     pub(super) id: Rc<str>,
@@ -48,8 +48,8 @@
     /// Attempts so far, which is also the next attempt's id.
     pub(super) attempts: u32,
     pub(super) last_outcome: Option<Outcome>,
-    /// Nothing more is owed to the client, as it has its final answer or has disconnected. No attempt starts any more,
-    /// and one that is in progress is the last.
+    /// Nothing more is owed to the client, as it has its final answer or has disconnected. No attempt starts
+    /// any more, and one that is in progress is the last.
     pub(super) settled: bool,
 }
 
@@ -58,7 +58,13 @@
     pub(super) fn accept(
         context: RoutingContext, spec: RequestSpec, id: Rc<str>, responder: Responder,
     ) -> Self {
-        tracing::debug!(request_id = %id, prompt_tokens = spec.prompt_tokens, prefix_tokens = spec.prefix_tokens, remaining_ms = spec.client_timeout / 1_000, "request accepted");
+        tracing::debug!(
+            request_id = %id,
+            prompt_tokens = spec.prompt_tokens,
+            prefix_tokens = spec.prefix_tokens,
+            remaining_ms = spec.client_timeout / 1_000,
+            "request accepted"
+        );
         context.counters.taken.increment();
         RequestTask {
             reservation: Reservation::new(context.upstream.clone(), id.clone()),
@@ -87,8 +93,8 @@
         None
     }
 
-    /// Ends the task: checks that the client has its answer, and waits until nothing is reserved any more. Only then
-    /// does the scheduler learn that the task has ended.
+    /// Ends the task: checks that the client has its answer, and waits until nothing is reserved any more.
+    /// Only then does the scheduler learn that the task has ended.
     pub(super) async fn finish(self) {
         if self.responder.client_waits() {
             self.context.counters.violations_unanswered.increment();
@@ -97,8 +103,8 @@
         self.reservation.finish().await;
     }
 
-    /// Waits for whatever comes first. A command that is ready goes before the client's disconnect, and that before
-    /// the deadline.
+    /// Waits for whatever comes first. A command that is ready goes before the client's disconnect, and that
+    /// before the deadline.
     pub(super) async fn next_event(&mut self) -> TaskEvent {
         tokio::select! {
             biased;
@@ -108,7 +114,7 @@
         }
     }
 
-    /// Waits, with no attempt in flight, until the scheduler sends the request somewhere; none once it is over.
+    /// Waits, with no attempt in flight, for the next command to send the request; none once it is over.
     async fn next_send(&mut self) -> Option<SendCommand> {
         loop {
             match self.next_event().await {
@@ -172,8 +178,8 @@
         self.settle_without_scheduler();
     }
 
-    /// No answer is needed any more and the scheduler has not decided so: nothing further is sent, and the scheduler
-    /// forgets the request.
+    /// No answer is needed any more and the scheduler has not decided so: nothing further is sent, and the
+    /// scheduler forgets the request.
     fn settle_without_scheduler(&mut self) {
         self.settled = true;
         self.gate.close();
@@ -186,10 +192,22 @@
         let remaining = self.deadline.saturating_duration_since(now);
         let lateness = now.saturating_duration_since(self.deadline);
         let last_outcome = self.last_outcome.map_or("none".to_owned(), |outcome| format!("{outcome:?}"));
-        tracing::debug!(request_id = %self.id, answer, attempts = self.attempts, last_outcome, remaining_ms = remaining.as_millis(), "request answered");
+        tracing::debug!(
+            request_id = %self.id,
+            answer,
+            attempts = self.attempts,
+            last_outcome,
+            remaining_ms = remaining.as_millis(),
+            "request answered"
+        );
         if lateness > MAX_ANSWER_LATENESS {
             self.context.counters.violations_answered_late.increment();
-            tracing::error!(request_id = %self.id, answer, late_ms = lateness.as_millis(), "violation: request answered too late");
+            tracing::error!(
+                request_id = %self.id,
+                answer,
+                late_ms = lateness.as_millis(),
+                "violation: request answered too late"
+            );
         }
     }
 }
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -29,15 +29,15 @@
 
 /// Runs one request from its acceptance to its final answer.
 ///
-/// The scheduler decides at each point of choice. Exactly one final answer goes to the responder, and when this
-/// returns, nothing is reserved or in flight any more.
+/// The scheduler decides at each point of choice. Exactly one final answer goes to the responder, and when
+/// this returns, nothing is reserved or in flight any more.
 pub async fn run_request<A>(
     context: RoutingContext, spec: RequestSpec, allocated: AllocatedPayload<A>, responder: Responder,
 ) {
     let mut task = RequestTask::accept(context, spec, allocated.payload.id.clone(), responder);
     if let Some(stream) = task.run_until_stream(&allocated.payload).await {
-        // A payload is never sent again once its stream has begun, and is far larger than the events that wait
-        // for the client.
+        // A payload is never sent again once its stream has begun, and is far larger than the events that
+        // wait for the client.
         drop(allocated);
         task.forward_stream(stream).await;
     }
--- a/src/request/reservation.rs
+++ b/src/request/reservation.rs
@@ -10,19 +10,19 @@
 use crate::upstream::exchange::Upstream;
 use crate::upstream::release::release;
 
-/// How long (250 ms) the next prefill waits for the release of an earlier one. A release that is still in progress
-/// then is aborted, as it would free the new prefill's state when it arrives late.
+/// How long (250 ms) the next prefill waits for the release of an earlier one. A release that is still in
+/// progress then is aborted, as it would free the new prefill's state when it arrives late.
 const RELEASE_BEFORE_PREFILL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How far (300 ms) a reservation may exceed its limit before that counts as a violation. The rules allow this much
-/// for sockets.
+/// How far (300 ms) a reservation may exceed its limit before that counts as a violation. The rules allow
+/// this much for sockets.
 const RESERVATION_LIMIT_TOLERANCE: Duration = Duration::from_millis(300);
 
 /// The KV cache state that may be reserved for one request.
 ///
-/// A reservation starts when a prefill may have left state behind, and ends when a decode endpoint has fetched the
-/// state or the release of it has started. Its time counts from the end of the last attempt that had reached an
-/// endpoint, as the rules limit only the time for which state waits with no attempt in flight.
+/// A reservation starts when a prefill may have left state behind, and ends when a decode endpoint has
+/// fetched the state or the release of it has started. Its time counts from the end of the last attempt that
+/// had reached an endpoint, as the rules limit only the time for which state waits with no attempt in flight.
 pub(super) struct Reservation {
     upstream: Rc<Upstream>,
     request_id: Rc<str>,
@@ -48,8 +48,8 @@
         self.reserved_since = Some(Instant::now());
     }
 
-    /// An attempt has ended `elapsed` after it was sent. If it had reached its endpoint, any state waits only from
-    /// now on.
+    /// An attempt has ended `elapsed` after it was sent. If it had reached its endpoint, any state waits only
+    /// from now on.
     pub(super) fn attempt_finished(&mut self, outcome: Outcome, elapsed: Micros) {
         if outcome.reached_endpoint(elapsed) && self.is_held() {
             self.start();
@@ -87,7 +87,7 @@
         self.release_task = None;
     }
 
-    /// Releases whatever is still reserved and waits for it, whichever of client and scheduler ended the request.
+    /// Releases whatever is still reserved and waits for it, however the request ended.
     pub(super) async fn finish(mut self) {
         self.release();
         if let Some(release_task) = self.release_task.take() {
@@ -102,6 +102,10 @@
     let reserved = reserved_since.elapsed();
     if reserved > upstream.max_reservation() + RESERVATION_LIMIT_TOLERANCE {
         upstream.counters().violations_held_too_long.increment();
-        tracing::error!(request_id = %request_id, reserved_ms = reserved.as_millis(), "violation: reservation held too long");
+        tracing::error!(
+            request_id = %request_id,
+            reserved_ms = reserved.as_millis(),
+            "violation: reservation held too long"
+        );
     }
 }
--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -9,7 +9,8 @@
 use crate::scheduler_handle::{RequestCommand, RequestHandle};
 use crate::upstream::event_stream::{EventStream, StreamBroken, StreamChunk};
 
-/// How many chunks of a stream wait for a slow client; past them the endpoint's connection is read no further.
+/// How many chunks of a stream wait for a slow client. Past them its endpoint's connection is not read, so
+/// that the endpoint is slowed down rather than this process filled.
 const MAX_WAITING_CHUNKS: usize = 4;
 
 /// How forwarding a stream ended.
@@ -25,7 +26,8 @@
 }
 
 impl RequestTask {
-    /// Forwards a stream to its end. From its first event on it is this client's alone, and no deadline applies.
+    /// Forwards a stream to its end. It is this client's alone from its first event on, and no deadline
+    /// applies to it any more.
     pub(super) async fn forward_stream(&mut self, stream: StartedStream) {
         let StartedStream { events, attempt } = stream;
         self.reservation.transferred();
@@ -42,12 +44,17 @@
             return;
         }
         let elapsed = attempt.elapsed();
-        tracing::debug!(request_id = %self.id, attempt = attempt.id.0, elapsed_us = elapsed, "stream started");
+        tracing::debug!(
+            request_id = %self.id,
+            attempt = attempt.id.0,
+            elapsed_us = elapsed,
+            "stream started"
+        );
         self.scheduler.first_token(attempt.id, attempt.send.endpoint, elapsed);
     }
 
-    /// Answers with the stream and forwards it, until it ends or the scheduler migrates it. When this returns, the
-    /// stream is closed at both ends.
+    /// Answers with the stream and forwards it, until it ends or the scheduler migrates it. When this
+    /// returns, the stream is closed at both ends.
     async fn forward_to_client(&mut self, mut events: Box<EventStream>) -> Forwarded {
         let (client, chunks) = mpsc::channel(MAX_WAITING_CHUNKS);
         let kind = events.kind().clone();
@@ -109,7 +116,7 @@
                 }
             }
             Some(Err(broken)) => {
-                // A full channel means a slow client: the break waits its turn, the client's disconnect does not.
+                // A full channel means a slow client: the break waits its turn, but not the disconnect.
                 if client.send(Err(broken)).await.is_err() {
                     return Forwarded::ClientDisconnected;
                 }
--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -32,7 +32,7 @@
 }
 
 impl SchedulerHandle {
-    /// Starts a scheduler on the current local task set. What it wants of the fleet comes out of the receiver.
+    /// Starts a scheduler on the current local task set. The receiver gives what it wants of the fleet.
     pub fn start(settings: Settings, seed: u64, clock: Clock) -> (Self, UnboundedReceiver<FleetCommand>) {
         let (inputs, queue) = mpsc::unbounded_channel();
         let (fleet, fleet_commands) = mpsc::unbounded_channel();
--- a/src/scheduler_handle/task.rs
+++ b/src/scheduler_handle/task.rs
@@ -10,8 +10,8 @@
 use crate::clock::{Clock, duration_from_micros};
 use crate::scheduler::{Action, Event, Micros, RequestId, RequestSpec, Scheduler};
 
-/// How many inputs one round takes at most. It bounds the time for which the other tasks of the process wait, as all
-/// of them share one thread.
+/// How many inputs one round takes at most. It bounds the time for which the other tasks of the process wait,
+/// as all of them share one thread.
 const MAX_INPUTS_PER_ROUND: usize = 256;
 
 /// What the handles send to the task.
@@ -34,7 +34,7 @@
 struct Round {
     /// Handled by the scheduler, in the order in which they came.
     events: Vec<Event>,
-    /// Requests whose clients disconnected: their tasks are notified once the round's commands have been sent.
+    /// Requests whose clients disconnected: their tasks are notified after the round's commands.
     disconnected: Vec<RequestId>,
     /// Requests whose tasks have ended: they are removed last.
     ended: Vec<RequestId>,
@@ -42,9 +42,10 @@
 
 /// The sole owner of a [`Scheduler`].
 ///
-/// All that the scheduler learns comes through one queue, so its decisions need no locks and follow from the order of
-/// the queue alone. Whatever has queued up since the last round is one batch of events and is handled at one point in
-/// time, just as a batch of the simulator is, so that the scheduler decides with all of it known.
+/// All that the scheduler learns comes through one queue, so its decisions need no locks and follow from the
+/// order of the queue alone. Whatever has queued up since the last round is one batch of events and is
+/// handled at one point in time, just as a batch of the simulator is, so that the scheduler decides with all
+/// of it known.
 pub(super) struct SchedulerTask {
     pub(super) scheduler: Scheduler,
     pub(super) clock: Clock,
@@ -124,7 +125,7 @@
                 self.send_fleet_command(FleetCommand::CloseIdleConnections(endpoint));
             }
             Action::SetTimer { token, after } => self.start_timer(token, after),
-            // The endpoint list is watched all the time, and the protocols know no reservation ahead of a request.
+            // The endpoint list is always watched, and the protocols have no reservation ahead of a request.
             Action::FetchEndpoints | Action::WatchEndpoints | Action::ReserveAhead { .. } => {}
             Action::Log(note) => tracing::info!(note = %note, "scheduler"),
         }
