--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -10,7 +10,7 @@
 use hyper::http::uri::PathAndQuery;
 use inference_router::clock::{Clock, duration_from_micros};
 use inference_router::metrics::Counters;
-use inference_router::request::lifecycle::{Responder, run_request};
+use inference_router::request::{AllocatedPayload, Responder, run_request};
 use inference_router::routing_context::RoutingContext;
 use inference_router::scheduler::{EndpointId, Outcome};
 use inference_router::scheduler_handle::SchedulerHandle;
@@ -61,6 +61,11 @@
     }
 }
 
+/// The same for a request's task, where nothing limits the memory.
+fn allocated_payload() -> AllocatedPayload<()> {
+    AllocatedPayload { payload: payload(), allocation: () }
+}
+
 /// Takes the only connection that the pool has room for.
 async fn occupy_pool(context: &RoutingContext, listener: &TcpListener) -> Connection {
     let Ok(occupying) = context.upstream.pool().connection(EndpointId(PREFILL)).await else {
@@ -91,7 +96,8 @@
     let context = routing_context(&listener);
     let occupying = occupy_pool(&context, &listener).await;
     let (responder, response) = Responder::new();
-    let request_task = spawn_local(run_request(context.clone(), request_spec(1), (payload(), ()), responder));
+    let request_task =
+        spawn_local(run_request(context.clone(), request_spec(1), allocated_payload(), responder));
     wait_for_first_attempt(&context).await;
     drop(response);
     while context.counters.client_disconnects.get() == 0 {
@@ -123,7 +129,8 @@
     }
     let context = routing_context(&listener);
     let (responder, response) = Responder::new();
-    let request_task = spawn_local(run_request(context.clone(), request_spec(1), (payload(), ()), responder));
+    let request_task =
+        spawn_local(run_request(context.clone(), request_spec(1), allocated_payload(), responder));
     wait_for_first_attempt(&context).await;
     drop(response);
     timeout(PATIENCE, request_task).await.expect("it ends").expect("it ends well");
