--- a/src/server/chat_api.rs
+++ b/src/server/chat_api.rs
@@ -190,7 +190,7 @@
         seed: u64,
     ) -> Self {
         let ids = Rc::new(Ids { seed, next: std::cell::Cell::new(0) });
-        ChatApi { core, chat, intake, shutdown, ids, peer: ClientIdentity::Unproven }
+        ChatApi { core, chat, intake, shutdown, ids, peer: ClientIdentity::Unverified }
     }
 
     /// The same front for one client.
@@ -199,7 +199,7 @@
     }
 
     async fn route(&self, request: Request<Incoming>) -> Result<ServerResponse, ChatError> {
-        if let ClientIdentity::SendDenied(id) = &self.peer {
+        if let ClientIdentity::Denied(id) = &self.peer {
             return Err(ChatError::SendDenied(id.clone()));
         }
         match (request.method(), request.uri().path()) {
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -180,19 +180,19 @@
     let _ = socket.set_nodelay(true);
     let (place, pending) = (intake.register(), shutdown.guard());
     let Some(identities) = tls else {
-        let front = front(ClientIdentity::Unproven);
+        let front = front(ClientIdentity::Unverified);
         spawn_local(serve_connection(socket, front, shutdown.clone(), (place, pending)));
         return;
     };
     let (identities, front, shutdown) = (identities.clone(), front.clone(), shutdown.clone());
     spawn_local(async move {
         let proven = tokio::select! {
-            proven = timeout(HEAD_TIME, identities.prove(socket)) => proven,
+            proven = timeout(HEAD_TIME, identities.verify(socket)) => proven,
             () = place.client.evicted() => return,
         };
         match proven {
-            Ok(Ok((stream, peer))) => {
-                serve_connection(stream, front(peer), shutdown, (place, pending)).await;
+            Ok(Ok(client)) => {
+                serve_connection(client.stream, front(client.identity), shutdown, (place, pending)).await;
             }
             Ok(Err(error)) => {
                 tracing::warn!(%error, "client did not prove its identity");
--- a/src/server/spiffe.rs
+++ b/src/server/spiffe.rs
@@ -1,8 +1,11 @@
-//! SPIFFE identities: mutual TLS whose peer is known by the URI in its certificate.
+//! SPIFFE identities: mutual TLS whose client is known by the URI in its certificate.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
-use std::path::Path;
+use std::error::Error;
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -18,170 +21,243 @@
 use tokio_rustls::server::TlsStream;
 use x509_parser::prelude::{FromDer, GeneralName, X509Certificate};
 
-/// For a client to finish the handshake.
-const HANDSHAKE: Duration = Duration::from_secs(5);
-/// Longest SPIFFE ID, by the standard.
-const ID_MOST: usize = 2_048;
+/// Time for a client to finish the handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest SPIFFE ID, in bytes, by the standard.
+const MAX_ID_LENGTH: usize = 2_048;
+/// Longest trust domain of a SPIFFE ID, in bytes, by the standard.
+const MAX_TRUST_DOMAIN_LENGTH: usize = 255;
 
 /// The operator's settings for identities.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
-    certificate: std::path::PathBuf,
-    key: std::path::PathBuf,
-    trust_bundle: std::path::PathBuf,
+    certificate: PathBuf,
+    key: PathBuf,
+    trust_bundle: PathBuf,
     allowed_ids: BTreeSet<String>,
 }
 
 /// Why identities cannot be set up, or a client has proved none.
 #[derive(Debug, thiserror::Error)]
 pub enum IdentityError {
-    /// A file is not what it should be.
-    #[error("{0}: {1}")]
-    File(String, String),
-    /// An allowed identity is no SPIFFE ID.
+    /// A file cannot be read or used.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// Which file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: Box<dyn Error + Send + Sync>,
+    },
+    /// An allowed identity is not a SPIFFE ID.
     #[error("allowed_ids: \"{0}\" is not a SPIFFE ID")]
     Id(String),
     /// The handshake failed.
-    #[error("{0}")]
-    Handshake(#[from] std::io::Error),
+    #[error(transparent)]
+    Handshake(#[from] io::Error),
     /// The handshake took too long.
-    #[error("the handshake took over {} s", HANDSHAKE.as_secs())]
+    #[error("the handshake took over {} s", HANDSHAKE_TIMEOUT.as_secs())]
     Slow,
     /// The certificate names no single SPIFFE ID.
     #[error("its certificate must name exactly one SPIFFE ID as URI")]
     NoId,
 }
 
+impl IdentityError {
+    fn file(path: &Path, source: impl Into<Box<dyn Error + Send + Sync>>) -> Self {
+        IdentityError::File { path: path.to_owned(), source: source.into() }
+    }
+}
+
 /// Who a client is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientIdentity {
-    /// IdentityVerifier are not asked for.
-    Unproven,
-    /// It has this identity, and that is allowed.
+    /// It was not verified, as the API verifies no identities.
+    Unverified,
+    /// It has proved this identity, which is allowed.
     Allowed(Rc<str>),
-    /// It has this identity, which is not on the list.
-    SendDenied(Rc<str>),
+    /// It has proved this identity, which is not allowed.
+    Denied(Rc<str>),
 }
 
-/// Proves who clients are.
-#[derive(Clone)]
-pub struct IdentityVerifier(Rc<Shared>);
-
-struct Shared {
-    tls: TlsSettings,
-    current: RefCell<(Stamps, TlsAcceptor)>,
+/// Whether a text is a SPIFFE ID: a trust domain and a path, without the parts that the standard forbids.
+pub fn is_spiffe_id(text: &str) -> bool {
+    if text.len() > MAX_ID_LENGTH {
+        return false;
+    }
+    let Some(domain_and_path) = text.strip_prefix("spiffe://") else { return false };
+    match domain_and_path.split_once('/') {
+        None => is_trust_domain(domain_and_path),
+        Some((domain, path)) => is_trust_domain(domain) && path.split('/').all(is_path_segment),
+    }
 }
 
-/// When the files last changed, and their lengths.
-type Stamps = [Option<(SystemTime, u64)>; 3];
+fn is_trust_domain(text: &str) -> bool {
+    let is_allowed =
+        |character: char| matches!(character, 'a'..='z' | '0'..='9') || "-._".contains(character);
+    (1..=MAX_TRUST_DOMAIN_LENGTH).contains(&text.len()) && text.chars().all(is_allowed)
+}
 
-/// Whether a text is a SPIFFE ID: a trust domain and a path, without the parts that the standard forbids.
-pub fn is_spiffe_id(text: &str) -> bool {
-    let Some(rest) = text.strip_prefix("spiffe://").filter(|_| text.len() <= ID_MOST) else { return false };
-    let (domain, path) = rest.split_once('/').map_or((rest, None), |(domain, path)| (domain, Some(path)));
-    let in_domain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-._".contains(c);
-    let in_path = |c: char| c.is_ascii_alphanumeric() || "-._".contains(c);
-    let segment = |s: &str| !s.is_empty() && s != "." && s != ".." && s.chars().all(in_path);
-    (1..=255).contains(&domain.len())
-        && domain.chars().all(in_domain)
-        && path.is_none_or(|path| path.split('/').all(segment))
+fn is_path_segment(text: &str) -> bool {
+    let is_allowed = |character: char| character.is_ascii_alphanumeric() || "-._".contains(character);
+    !matches!(text, "" | "." | "..") && text.chars().all(is_allowed)
 }
 
 /// The one SPIFFE ID that a certificate names.
+///
+/// # Errors
+///
+/// The certificate cannot be parsed, or names none or several URIs, or one that is not a SPIFFE ID.
 pub fn spiffe_id(certificate: &[u8]) -> Result<String, IdentityError> {
     let (_, certificate) = X509Certificate::from_der(certificate).map_err(|_| IdentityError::NoId)?;
-    let names = certificate.subject_alternative_name().map_err(|_| IdentityError::NoId)?;
-    let uris = names.iter().flat_map(|names| &names.value.general_names).filter_map(|name| match name {
-        GeneralName::URI(uri) => Some(*uri),
-        _ => None,
-    });
-    match uris.collect::<Vec<_>>()[..] {
+    let extension = certificate.subject_alternative_name().map_err(|_| IdentityError::NoId)?;
+    let mut uris = Vec::new();
+    for name in extension.iter().flat_map(|names| &names.value.general_names) {
+        if let GeneralName::URI(uri) = name {
+            uris.push(*uri);
+        }
+    }
+    match uris[..] {
         [id] if is_spiffe_id(id) => Ok(id.to_owned()),
         _ => Err(IdentityError::NoId),
     }
 }
 
+/// When a file last changed, and its length, by which a replaced file is noticed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct FileVersion {
+    modified: SystemTime,
+    length: u64,
+}
+
+impl FileVersion {
+    /// Of the file as it is; none where the operating system does not say.
+    fn of(path: &Path) -> Option<Self> {
+        let metadata = fs::metadata(path).ok()?;
+        Some(FileVersion { modified: metadata.modified().ok()?, length: metadata.len() })
+    }
+}
+
 impl TlsSettings {
-    fn stamps(&self) -> Stamps {
-        [&self.certificate, &self.key, &self.trust_bundle].map(|path| {
-            let file = std::fs::metadata(path).ok()?;
-            Some((file.modified().ok()?, file.len()))
-        })
+    /// The versions of the files as they are.
+    fn file_versions(&self) -> [Option<FileVersion>; 3] {
+        [&self.certificate, &self.key, &self.trust_bundle].map(|path| FileVersion::of(path))
     }
 
-    fn acceptor(&self) -> Result<TlsAcceptor, IdentityError> {
-        let error = |path: &Path, why: String| IdentityError::File(path.display().to_string(), why);
-        let certificates = |path: &Path| -> Result<Vec<CertificateDer<'static>>, IdentityError> {
-            let read = CertificateDer::pem_file_iter(path).and_then(|all| all.collect::<Result<Vec<_>, _>>());
-            read.map_err(|e| error(path, e.to_string()))
-        };
+    /// Reads the files.
+    fn read_acceptor(&self) -> Result<TlsAcceptor, IdentityError> {
         let mut roots = RootCertStore::empty();
-        for root in certificates(&self.trust_bundle)? {
-            roots.add(root).map_err(|e| error(&self.trust_bundle, e.to_string()))?;
+        for root in read_certificates(&self.trust_bundle)? {
+            roots.add(root).map_err(|error| IdentityError::file(&self.trust_bundle, error))?;
         }
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone())
             .build()
-            .map_err(|e| error(&self.trust_bundle, e.to_string()))?;
-        let key = PrivateKeyDer::from_pem_file(&self.key).map_err(|e| error(&self.key, e.to_string()))?;
+            .map_err(|error| IdentityError::file(&self.trust_bundle, error))?;
+        let key =
+            PrivateKeyDer::from_pem_file(&self.key).map_err(|error| IdentityError::file(&self.key, error))?;
         let mut config = ServerConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
-            .map_err(|e| error(&self.certificate, e.to_string()))?
+            .map_err(|error| IdentityError::file(&self.certificate, error))?
             .with_client_cert_verifier(verifier)
-            .with_single_cert(certificates(&self.certificate)?, key)
-            .map_err(|e| error(&self.certificate, e.to_string()))?;
+            .with_single_cert(read_certificates(&self.certificate)?, key)
+            .map_err(|error| IdentityError::file(&self.certificate, error))?;
         config.alpn_protocols = vec![b"http/1.1".to_vec()];
         Ok(TlsAcceptor::from(Arc::new(config)))
     }
 }
 
+fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, IdentityError> {
+    CertificateDer::pem_file_iter(path)
+        .and_then(Iterator::collect)
+        .map_err(|error| IdentityError::file(path, error))
+}
+
+/// Verifies clients' identities in the TLS handshake. Clones share the files that were read.
+#[derive(Clone)]
+pub struct IdentityVerifier {
+    settings: Rc<TlsSettings>,
+    loaded: Rc<RefCell<LoadedFiles>>,
+}
+
+/// The files as they were last read.
+struct LoadedFiles {
+    versions: [Option<FileVersion>; 3],
+    acceptor: TlsAcceptor,
+}
+
+/// A client whose identity was verified.
+pub struct VerifiedClient {
+    /// Its connection.
+    pub stream: TlsStream<TcpStream>,
+    /// Its identity.
+    pub identity: ClientIdentity,
+}
+
 impl IdentityVerifier {
     /// Reads certificate, key and trust bundle; relative paths start at `base`.
-    pub fn read(mut tls: TlsSettings, base: &Path) -> Result<Self, IdentityError> {
-        for path in [&mut tls.certificate, &mut tls.key, &mut tls.trust_bundle] {
+    ///
+    /// # Errors
+    ///
+    /// An allowed identity is not a SPIFFE ID, or a file cannot be read or used.
+    pub fn read(mut settings: TlsSettings, base: &Path) -> Result<Self, IdentityError> {
+        for path in [&mut settings.certificate, &mut settings.key, &mut settings.trust_bundle] {
             *path = base.join(&*path);
         }
-        if let Some(unfit) = tls.allowed_ids.iter().find(|id| !is_spiffe_id(id)) {
-            return Err(IdentityError::Id(unfit.clone()));
+        if let Some(malformed) = settings.allowed_ids.iter().find(|id| !is_spiffe_id(id)) {
+            return Err(IdentityError::Id(malformed.clone()));
         }
-        let current = RefCell::new((tls.stamps(), tls.acceptor()?));
-        Ok(IdentityVerifier(Rc::new(Shared { tls, current })))
+        let versions = settings.file_versions();
+        let acceptor = settings.read_acceptor()?;
+        Ok(IdentityVerifier {
+            settings: Rc::new(settings),
+            loaded: Rc::new(RefCell::new(LoadedFiles { versions, acceptor })),
+        })
     }
 
-    /// IdentityVerifier are short-lived and their files are replaced while the program runs; what cannot be read,
-    /// perhaps
-    /// half written, leaves the last ones in use until the next client.
-    fn acceptor(&self) -> TlsAcceptor {
-        let Shared { tls, current } = &*self.0;
-        let stamps = tls.stamps();
-        if stamps != current.borrow().0 {
-            match tls.acceptor() {
-                Ok(acceptor) => {
-                    tracing::info!("identity files reloaded");
-                    current.replace((stamps, acceptor));
-                }
-                Err(error) => {
-                    tracing::warn!(%error, "identity files cannot be reloaded, the previous ones stay in use")
-                }
+    /// The acceptor for the next client. Certificates are short-lived and their files are replaced while the
+    /// program runs; files that cannot be read, perhaps as they are half written, leave the last ones in use
+    /// until the next client.
+    fn current_acceptor(&self) -> TlsAcceptor {
+        let versions = self.settings.file_versions();
+        let mut loaded = self.loaded.borrow_mut();
+        if versions == loaded.versions {
+            return loaded.acceptor.clone();
+        }
+        match self.settings.read_acceptor() {
+            Ok(acceptor) => {
+                tracing::info!("identity files reloaded");
+                *loaded = LoadedFiles { versions, acceptor };
+            }
+            Err(error) => {
+                tracing::warn!(%error, "identity files cannot be reloaded, the previous ones stay in use");
             }
         }
-        current.borrow().1.clone()
+        loaded.acceptor.clone()
     }
 
-    /// Takes a client through the handshake and says who it is.
-    pub async fn prove(
-        &self, socket: TcpStream,
-    ) -> Result<(TlsStream<TcpStream>, ClientIdentity), IdentityError> {
-        let accepted = timeout(HANDSHAKE, self.acceptor().accept(socket)).await;
+    /// Takes a client through the handshake and verifies its identity.
+    ///
+    /// # Errors
+    ///
+    /// The handshake fails or takes too long, or the client's certificate names no single SPIFFE ID.
+    pub async fn verify(&self, socket: TcpStream) -> Result<VerifiedClient, IdentityError> {
+        let handshake = self.current_acceptor().accept(socket);
+        let accepted = timeout(HANDSHAKE_TIMEOUT, handshake).await;
         let stream = accepted.map_err(|_| IdentityError::Slow)??;
-        let chain = stream.get_ref().1.peer_certificates().unwrap_or_default();
+        let (_, session) = stream.get_ref();
+        let chain = session.peer_certificates().unwrap_or_default();
         let id = spiffe_id(chain.first().ok_or(IdentityError::NoId)?)?;
-        let known = self.0.tls.allowed_ids.contains(&id);
-        let id: Rc<str> = id.into();
-        if !known {
-            tracing::warn!(identity = %id, "identity is not allowed");
+        let identity = self.authorize(id);
+        Ok(VerifiedClient { stream, identity })
+    }
+
+    /// Whether a proved identity is allowed.
+    fn authorize(&self, id: String) -> ClientIdentity {
+        if self.settings.allowed_ids.contains(&id) {
+            return ClientIdentity::Allowed(id.into());
         }
-        Ok((stream, if known { ClientIdentity::Allowed(id) } else { ClientIdentity::SendDenied(id) }))
+        tracing::warn!(identity = %id, "identity is not allowed");
+        ClientIdentity::Denied(id.into())
     }
 }
