--- a/src/server/chat_api.rs
+++ b/src/server/chat_api.rs
@@ -2,11 +2,9 @@
 
 use std::rc::Rc;
 
-use bytes::Bytes;
-use http_body_util::{Either, Full};
 use hyper::body::Incoming;
-use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderName, HeaderValue};
-use hyper::{Method, Request, Response, StatusCode};
+use hyper::header::{HeaderName, HeaderValue};
+use hyper::{Method, Request, StatusCode};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -14,10 +12,10 @@
 use super::connection_limits::ConnectionLimiter;
 use super::connection_state::Arrival;
 use super::request_body::{BodyError, read_body};
+use super::response::{complete_response, set_connection_close, set_retry_after, stream_response};
 use super::spiffe::ClientIdentity;
-use super::{
-    RequestHandler, ServerResponse, StreamBody, begin, set_retry_after, shed_wait, takes_nothing_new,
-};
+use super::stream_body::StreamBody;
+use super::{RequestHandler, ServerResponse, begin, shed_wait, takes_nothing_new};
 use crate::config::ChatConfig;
 use crate::metrics::Counters;
 use crate::request::lifecycle::RoutedResponse;
@@ -135,14 +133,7 @@
 
 fn object(status: StatusCode, value: &impl Serialize) -> ServerResponse {
     let text = serde_json::to_vec(value).unwrap_or_default();
-    whole(status, Some(HeaderValue::from_static("application/json")), text.into())
-}
-
-fn whole(status: StatusCode, content_type: Option<HeaderValue>, text: Bytes) -> ServerResponse {
-    let mut reply = Response::new(Either::Left(Full::new(text)));
-    *reply.status_mut() = status;
-    content_type.map(|kind| reply.headers_mut().insert(CONTENT_TYPE, kind));
-    reply
+    complete_response(status, Some(HeaderValue::from_static("application/json")), text)
 }
 
 /// The chat front.
@@ -177,7 +168,7 @@
             error.reply()
         });
         if self.shutdown.has_begun() || self.intake.over_limit() {
-            reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            set_connection_close(&mut reply);
         }
         reply
     }
@@ -210,7 +201,7 @@
                 let models: Vec<_> = self.chat.models.keys().map(model).collect();
                 Ok(object(StatusCode::OK, &json!({"object": "list", "data": models})))
             }
-            (&Method::GET, "/-/ready") => Ok(whole(StatusCode::OK, None, "ready\n".into())),
+            (&Method::GET, "/-/ready") => Ok(complete_response(StatusCode::OK, None, "ready\n")),
             (&Method::GET, "/-/counters") => Ok(object(StatusCode::OK, &self.core.counters.all())),
             (_, "/v1/models" | "/-/ready" | "/-/counters") => Err(ChatError::Method("GET")),
             (_, path) => Err(ChatError::Path(path.to_owned())),
@@ -246,13 +237,11 @@
         let answer = begin(&self.core, ask, (payload, room), self.shutdown.guard());
         let mut reply = match answer.await {
             Ok(RoutedResponse::Body { form, pieces }) if streamed && form.is_event_stream() => {
-                let mut reply = Response::new(Either::Right(StreamBody::new(pieces)));
-                form.content_type.map(|kind| reply.headers_mut().insert(CONTENT_TYPE, kind));
-                reply
+                stream_response(form.content_type, pieces)
             }
             // Nothing of a whole answer is shown before it is known to be whole.
-            Ok(RoutedResponse::Body { form, pieces }) => match StreamBody::new(pieces).whole().await {
-                Ok(text) => whole(form.status, form.content_type, text),
+            Ok(RoutedResponse::Body { form, pieces }) => match StreamBody::new(pieces).collect().await {
+                Ok(text) => complete_response(form.status, form.content_type, text),
                 Err(_) => ChatError::Failed.reply(),
             },
             Ok(RoutedResponse::Rejected { retry_after }) => ChatError::Refused(retry_after).reply(),
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -5,7 +5,6 @@
 
 use http_body_util::Either;
 use hyper::body::Incoming;
-use hyper::header::{CONNECTION, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
@@ -15,11 +14,17 @@
 use super::close_reason::CloseReason;
 use super::connection_limits::ConnectionSlot;
 use super::connection_state::ClientState;
+use super::response::set_connection_close;
 use super::{BUFFER, RequestHandler, ServerResponse};
 use crate::shutdown::{CONNECT_GRACE, Shutdown, ShutdownGuard};
 
 /// What holds a connection's place among the others and keeps the process from ending before it.
-pub type ConnectionGuard = (ConnectionSlot, ShutdownGuard);
+pub struct ConnectionGuard {
+    /// Its share of the connection limit.
+    pub slot: ConnectionSlot,
+    /// Keeps the process from ending before it.
+    pub shutdown: ShutdownGuard,
+}
 
 /// One request of a connection: how it arrived is added, and a connection that cannot go on is closed behind it.
 async fn one_request(
@@ -30,11 +35,11 @@
     let mut reply = front.handle(request).await;
     let unfit = reply.status().is_client_error() && reply.status() != StatusCode::TOO_MANY_REQUESTS;
     if !client.answered(unfit) {
-        reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        set_connection_close(&mut reply);
     }
     match reply.body_mut() {
         Either::Left(_) => client.answer_ends(),
-        Either::Right(pieces) => pieces.client = Some(client),
+        Either::Right(pieces) => pieces.report_end_to(client),
     }
     Ok(reply)
 }
@@ -43,7 +48,7 @@
 pub async fn serve_connection(
     io: impl ClientIo, front: impl RequestHandler, shutdown: Shutdown, held: ConnectionGuard,
 ) {
-    let (client, counters) = (held.0.client.clone(), front.counters());
+    let (client, counters) = (held.slot.client.clone(), front.counters());
     let stream = ClientStream::new(io, client.clone());
     let last = stream.handle();
     let of_request = client.clone();
@@ -67,7 +72,7 @@
             // A client that breaks off, or a stream that broke, is told by the request's own task.
             ended = &mut served => {
                 if let Err(error) = ended {
-                    tracing::debug!(connection = held.0.number, %error, "client connection failed");
+                    tracing::debug!(connection = held.slot.number, %error, "client connection failed");
                 }
                 break CloseReason::Ended;
             }
@@ -79,7 +84,7 @@
             }
         }
     };
-    reason.record(&counters, held.0.number, client.stage());
+    reason.record(&counters, held.slot.number, client.stage());
     if reason.at_once() {
         return;
     }
--- a/src/server/platform_api.rs
+++ b/src/server/platform_api.rs
@@ -5,19 +5,17 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use http_body_util::{Either, Full};
 use hyper::body::Incoming;
-use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderMap, HeaderValue};
-use hyper::{Method, Request, Response, StatusCode};
+use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
+use hyper::{Method, Request, StatusCode};
 use tokio::sync::watch;
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::connection_limits::ConnectionLimiter;
 use super::connection_state::Arrival;
 use super::request_body::{BodyError, read_body};
-use super::{
-    RequestHandler, ServerResponse, StreamBody, begin, set_retry_after, shed_wait, takes_nothing_new,
-};
+use super::response::{complete_response, set_connection_close, set_retry_after, stream_response};
+use super::{RequestHandler, ServerResponse, begin, shed_wait, takes_nothing_new};
 use crate::metrics::Counters;
 use crate::request::lifecycle::RoutedResponse;
 use crate::routing_context::RoutingContext;
@@ -148,7 +146,7 @@
             _ => plain(StatusCode::NOT_FOUND, format!("{}\n", InvalidRequest::Path)),
         };
         if self.shutdown.has_begun() || self.intake.over_limit() {
-            reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            set_connection_close(&mut reply);
         }
         reply
     }
@@ -195,7 +193,10 @@
         let payload = RequestPayload { id, target, content_type, idempotency_key, body };
         let answer = begin(&self.core, ask, (payload, room), (open, self.shutdown.guard()));
         Ok(match answer.await {
-            Ok(RoutedResponse::Body { form, pieces }) => stream(form.content_type, pieces),
+            Ok(RoutedResponse::Body { form, pieces }) => {
+                let event_stream = HeaderValue::from_static("text/event-stream");
+                stream_response(Some(form.content_type.unwrap_or(event_stream)), pieces)
+            }
             Ok(RoutedResponse::Rejected { retry_after }) => refusal(retry_after),
             Ok(RoutedResponse::Failed) | Err(_) => {
                 plain(StatusCode::BAD_GATEWAY, "the request failed and may have run\n")
@@ -277,10 +278,7 @@
 }
 
 fn plain(status: StatusCode, text: impl Into<Bytes>) -> ServerResponse {
-    let mut reply = Response::new(Either::Left(Full::new(text.into())));
-    *reply.status_mut() = status;
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    reply
+    complete_response(status, Some(HeaderValue::from_static("text/plain")), text)
 }
 
 fn refusal(retry_after: Option<Micros>) -> ServerResponse {
@@ -288,12 +286,3 @@
     set_retry_after(reply.headers_mut(), retry_after);
     reply
 }
-
-fn stream(
-    content_type: Option<HeaderValue>, pieces: tokio::sync::mpsc::Receiver<super::StreamChunk>,
-) -> ServerResponse {
-    let mut reply = Response::new(Either::Right(StreamBody::new(pieces)));
-    let kind = content_type.unwrap_or(HeaderValue::from_static("text/event-stream"));
-    reply.headers_mut().insert(CONTENT_TYPE, kind);
-    reply
-}
--- /dev/null
+++ b/src/server/response.rs
@@ -0,0 +1,51 @@
+//! Building responses: what both APIs need, in no protocol of their own.
+
+use bytes::Bytes;
+use http_body_util::{Either, Full};
+use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderMap, HeaderValue, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+use tokio::sync::mpsc;
+
+use super::handler::ServerResponse;
+use super::stream_body::StreamBody;
+use crate::request::relay::StreamChunk;
+use crate::scheduler::Micros;
+
+/// A response with a complete body.
+pub(super) fn complete_response(
+    status: StatusCode, content_type: Option<HeaderValue>, body: impl Into<Bytes>,
+) -> ServerResponse {
+    let mut response = Response::new(Either::Left(Full::new(body.into())));
+    *response.status_mut() = status;
+    set_content_type(&mut response, content_type);
+    response
+}
+
+/// A response that streams these chunks.
+pub(super) fn stream_response(
+    content_type: Option<HeaderValue>, chunks: mpsc::Receiver<StreamChunk>,
+) -> ServerResponse {
+    let mut response = Response::new(Either::Right(StreamBody::new(chunks)));
+    set_content_type(&mut response, content_type);
+    response
+}
+
+fn set_content_type(response: &mut ServerResponse, content_type: Option<HeaderValue>) {
+    if let Some(content_type) = content_type {
+        response.headers_mut().insert(CONTENT_TYPE, content_type);
+    }
+}
+
+/// Sets `Retry-After`, in seconds with fractions, where there is a time to name.
+pub(super) fn set_retry_after(headers: &mut HeaderMap, retry_after: Option<Micros>) {
+    let Some(micros) = retry_after else { return };
+    let seconds = micros as f64 / 1e6;
+    if let Ok(value) = HeaderValue::from_str(&seconds.to_string()) {
+        headers.insert(RETRY_AFTER, value);
+    }
+}
+
+/// Announces that the connection is closed behind this response.
+pub(super) fn set_connection_close(response: &mut ServerResponse) {
+    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+}
--- /dev/null
+++ b/src/server/stream_body.rs
@@ -0,0 +1,64 @@
+//! The body of a streamed response.
+
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use bytes::{Bytes, BytesMut};
+use hyper::body::{Body, Frame};
+use tokio::sync::mpsc;
+
+use super::connection_state::ClientState;
+use crate::request::relay::{StreamBroken, StreamChunk};
+
+/// A response body that forwards chunks as they arrive and fails where the stream broke, which closes the
+/// connection.
+pub struct StreamBody {
+    chunks: mpsc::Receiver<StreamChunk>,
+    /// The connection that it is written to; none before the response is handed over to it.
+    client: Option<Rc<ClientState>>,
+}
+
+impl StreamBody {
+    /// The body that forwards these chunks.
+    pub fn new(chunks: mpsc::Receiver<StreamChunk>) -> Self {
+        StreamBody { chunks, client: None }
+    }
+
+    /// Reports the end of this body to the state of the connection that it is written to.
+    pub(super) fn report_end_to(&mut self, client: Rc<ClientState>) {
+        self.client = Some(client);
+    }
+
+    /// Collects all chunks into one buffer.
+    ///
+    /// # Errors
+    ///
+    /// The stream broke before its end.
+    pub async fn collect(mut self) -> Result<Bytes, StreamBroken> {
+        let mut collected = BytesMut::new();
+        while let Some(chunk) = self.chunks.recv().await {
+            collected.extend_from_slice(&chunk?);
+        }
+        Ok(collected.freeze())
+    }
+}
+
+impl Drop for StreamBody {
+    fn drop(&mut self) {
+        if let Some(client) = &self.client {
+            client.answer_ends();
+        }
+    }
+}
+
+impl Body for StreamBody {
+    type Data = Bytes;
+    type Error = StreamBroken;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>, cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
+        self.chunks.poll_recv(cx).map(|next| next.map(|chunk| chunk.map(Frame::data)))
+    }
+}
--- a/tests/client_connection.rs
+++ b/tests/client_connection.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use inference_router::metrics::Counters;
-use inference_router::server::connection::serve_connection;
+use inference_router::server::connection::{ConnectionGuard, serve_connection};
 use inference_router::server::connection_limits::ConnectionLimiter;
 use inference_router::server::connection_state::{ClientState, ConnectionStage};
 use inference_router::server::{RequestHandler, ServerResponse};
@@ -42,9 +42,10 @@
 /// A served connection over a pipe of this size: the client's end, and the state that the server keeps.
 fn connect(intake: &Rc<ConnectionLimiter>, pipe: usize) -> (DuplexStream, Rc<ClientState>) {
     let (client, server) = tokio::io::duplex(pipe);
-    let (place, shutdown) = (intake.register(), Shutdown::default());
-    let (state, pending) = (place.client.clone(), shutdown.guard());
-    spawn_local(serve_connection(server, FixedAnswer, shutdown, (place, pending)));
+    let shutdown = Shutdown::default();
+    let guard = ConnectionGuard { slot: intake.register(), shutdown: shutdown.guard() };
+    let state = guard.slot.client.clone();
+    spawn_local(serve_connection(server, FixedAnswer, shutdown, guard));
     (client, state)
 }
 
