--- a/src/server/chat_api.rs
+++ b/src/server/chat_api.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::connection_limits::ConnectionLimiter;
-use super::connection_state::Arrival;
+use super::connection_state::RequestArrival;
 use super::request_body::{BodyError, read_body};
 use super::response::{complete_response, set_connection_close, set_retry_after, stream_response};
 use super::spiffe::ClientIdentity;
@@ -210,7 +210,7 @@
 
     async fn complete(&self, mut request: Request<Incoming>) -> Result<ServerResponse, ChatError> {
         let arrived = tokio::time::Instant::now();
-        if request.extensions().get::<Arrival>().is_some_and(|arrival| arrival.conflicting) {
+        if request.extensions().get::<RequestArrival>().is_some_and(|arrival| arrival.conflicting_lengths) {
             return Err(ChatError::Invalid("Content-Length and Transfer-Encoding exclude each other".into()));
         }
         let (body, room) = match read_body(&mut request, true, &self.intake).await {
--- a/src/server/client_stream.rs
+++ b/src/server/client_stream.rs
@@ -1,4 +1,4 @@
-//! A client's byte stream, whose traffic the connection's state follows.
+//! A client's byte stream: reports its traffic to the connection's state and detects the client's close.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -16,18 +16,20 @@
 
 use super::connection_state::ClientState;
 
-/// How long a connection stays after its last answer: closed over unread bytes, it would be reset and the answer lost.
-const LINGER: Duration = Duration::from_secs(2);
-/// Between looks for the client's close behind bytes that are left unread.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
-/// Between reads of what nobody wants, so that it does not use up the core.
-const DISCARD_PAUSE: Duration = Duration::from_millis(1);
-/// Read at once of what nobody wants.
-const SCRATCH: usize = 32 * 1024;
-
-/// A byte stream that shows its client's close without taking what is unread.
+/// Longest time that a connection is kept after its last response for its client to close it: a close over
+/// unread bytes would reset it, and the client would lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between checks for the client's close while bytes are left unread: the socket stays readable all the
+/// while.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause between reads of bytes that are discarded, so that a client that floods does not use up the CPU.
+const DISCARD_INTERVAL: Duration = Duration::from_millis(1);
+/// Bytes discarded with one read.
+const DISCARD_BUFFER_SIZE: usize = 32 * 1024;
+
+/// A byte stream that shows its client's close without consuming unread bytes.
 pub trait ClientIo: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// Waits until the client has closed its side, as far as that shows.
+    /// Waits until the client has closed its side, as far as the stream shows that.
     fn client_closed(&mut self) -> impl Future<Output = ()>;
 }
 
@@ -38,7 +40,7 @@
             if ready.is_read_closed() || matches!(self.peek(&mut [0]).await, Ok(0) | Err(_)) {
                 return;
             }
-            sleep(LOOK_AGAIN).await;
+            sleep(CLOSE_POLL_INTERVAL).await;
         }
     }
 }
@@ -50,64 +52,79 @@
 }
 
 impl ClientIo for DuplexStream {
-    /// A pipe in memory shows its end only behind its last byte.
+    /// A pipe in memory shows its close only behind its last byte, so unread bytes are consumed.
     async fn client_closed(&mut self) {
         let mut scratch = [0; 1_024];
         while self.read(&mut scratch).await.is_ok_and(|read| read > 0) {}
     }
 }
 
-/// A client's byte stream; it outlives the library's use of it.
+/// What a read of bytes that are discarded came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Discarded {
+    /// Some bytes.
+    Bytes,
+    /// The end of the stream, or its failure.
+    End,
+}
+
+/// A client's byte stream, which reports its traffic to the connection's state. Its second handle outlives
+/// the HTTP library's use of the first.
 pub struct ClientStream<I> {
     io: Rc<RefCell<I>>,
     state: Rc<ClientState>,
 }
 
 impl<I: ClientIo> ClientStream<I> {
-    /// Follows a stream.
+    /// Wraps a byte stream.
     pub fn new(io: I, state: Rc<ClientState>) -> Self {
         ClientStream { io: Rc::new(RefCell::new(io)), state }
     }
 
-    /// A second handle.
+    /// A second handle to the same stream.
     pub fn handle(&self) -> Self {
         ClientStream { io: self.io.clone(), state: self.state.clone() }
     }
 
-    /// Waits for the client's close behind what it sent beyond its open request. The library reads no further there,
-    /// and the connection ends with the answer, so the bytes are discarded.
+    /// Waits for the client's close behind bytes that it sent beyond its open request. The HTTP library stops
+    /// reading there, so it would not see the close; the connection ends with the response, so the bytes are
+    /// discarded.
     pub async fn closed_behind_request(&self) {
-        let next = |cx: &mut Context<'_>| {
-            if self.state.overran() { self.poll_discard(cx) } else { Poll::Pending }
+        let discard_excess = |cx: &mut Context<'_>| {
+            if self.state.has_bytes_beyond_request() { self.poll_discard(cx) } else { Poll::Pending }
         };
-        while poll_fn(next).await {
-            sleep(DISCARD_PAUSE).await;
+        while poll_fn(discard_excess).await == Discarded::Bytes {
+            sleep(DISCARD_INTERVAL).await;
         }
     }
 
-    /// Ends the sending side and stays for a while, until the client closes or others need the room. Nothing more is
-    /// read: what crosses the end gets no answer, so its client has to see that it was not taken. This has to be the
-    /// last handle.
-    pub async fn leave(self) {
-        self.state.leaves();
+    /// Shuts the sending side down and waits until the client closes, the connection is evicted or a timeout
+    /// passes. Nothing more is read: a request that crosses the shutdown gets no response, so its client has
+    /// to see that it was never received. This has to be the last handle.
+    pub async fn linger(self) {
+        self.state.linger();
         let Some(io) = Rc::into_inner(self.io) else { return };
         let mut io = io.into_inner();
-        let last = async {
+        let closed = async {
             let _ = io.shutdown().await;
             io.client_closed().await;
         };
         tokio::select! {
-            _ = timeout(LINGER, last) => {}
+            _ = timeout(LINGER_TIMEOUT, closed) => {}
             () = self.state.evicted() => {}
         }
     }
 
-    /// Reads past what came; false at the end.
-    fn poll_discard(&self, cx: &mut Context<'_>) -> Poll<bool> {
-        let mut scratch = [MaybeUninit::uninit(); SCRATCH];
+    /// Reads and discards what came.
+    fn poll_discard(&self, cx: &mut Context<'_>) -> Poll<Discarded> {
+        let mut scratch = [MaybeUninit::uninit(); DISCARD_BUFFER_SIZE];
         let mut buffer = ReadBuf::uninit(&mut scratch);
         let read = ready!(Pin::new(&mut *self.io.borrow_mut()).poll_read(cx, &mut buffer));
-        Poll::Ready(read.is_ok() && !buffer.filled().is_empty())
+        if read.is_ok() && !buffer.filled().is_empty() {
+            Poll::Ready(Discarded::Bytes)
+        } else {
+            Poll::Ready(Discarded::End)
+        }
     }
 }
 
@@ -115,7 +132,7 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut *self.io.borrow_mut()).poll_read(cx, buf))?;
-        self.state.received(&buf.filled()[before..]);
+        self.state.bytes_received(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
@@ -136,10 +153,10 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The library gets here only once its own buffer is empty.
+        // The HTTP library flushes the stream only once its own buffer is empty.
         let flushed = ready!(Pin::new(&mut *self.io.borrow_mut()).poll_flush(cx));
         if flushed.is_ok() {
-            self.state.flushed();
+            self.state.output_flushed();
         }
         Poll::Ready(flushed)
     }
--- a/src/server/close_reason.rs
+++ b/src/server/close_reason.rs
@@ -1,35 +1,37 @@
-//! The one place that decides whether a client's connection may be closed now, and the reasons that are logged and
-//! counted for each close.
+//! Closing a client's connection: the one place that decides when that may be, and the reasons that are
+//! logged and counted for each close.
 
 use std::time::Duration;
 
 use super::connection_state::ConnectionStage;
 use crate::metrics::{Counter, Counters};
 
-/// For a connection that has said nothing before it may make room: its first bytes may be on their way.
-const SILENT_LEAST: Duration = Duration::from_millis(250);
-/// The same for one that has begun a head.
-const BEGUN_LEAST: Duration = Duration::from_millis(1_000);
-/// For a client to read its last answer, which a close over unread bytes would destroy.
-const LEAVING_LEAST: Duration = Duration::from_millis(250);
+/// Least age at which a connection without any bytes may be evicted: its first bytes may be on their way.
+const MIN_SILENT_AGE: Duration = Duration::from_millis(250);
+/// Least time since its head could have begun after which a connection with a part of a head may be evicted:
+/// a client sends a head in one go, so one that takes this long is slow or stalled.
+const MIN_PARTIAL_HEAD_AGE: Duration = Duration::from_millis(1_000);
+/// Least time after its last response after which a connection may be evicted: the client may still be
+/// reading that response, which a close over unread bytes would destroy.
+const MIN_LINGERING_AGE: Duration = Duration::from_millis(250);
 
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its client closed it or broke it off, or it has its last answer.
+    /// Its client closed or broke it, or it has had its last response.
     Ended,
-    /// Its client closed it behind bytes that nobody reads.
+    /// Its client closed it behind bytes that are never read.
     ClosedBehindRequest,
-    /// It stood idle for too long.
+    /// It was idle for too long.
     Idle,
-    /// Its head took too long.
+    /// A request's head took too long.
     SlowHead,
-    /// It made room for others.
+    /// It was evicted for another connection.
     Room,
 }
 
 impl CloseReason {
-    /// The reason for which a connection at this stage is closed when its time is up.
+    /// The reason for the close of a connection whose deadline passed in this stage.
     pub fn overdue(stage: ConnectionStage) -> Self {
         match stage {
             ConnectionStage::Silent | ConnectionStage::Idle => CloseReason::Idle,
@@ -37,9 +39,10 @@
         }
     }
 
-    /// Whether nothing has been read that is owed an answer, and no answer is on its way: the connection can be closed
-    /// at once, and what crosses the close stays unread.
-    pub fn at_once(self) -> bool {
+    /// Whether the connection is closed without lingering. That is safe where nothing that is owed a response
+    /// has been read and no response is on its way: a request that crosses the close stays unread, and its
+    /// client sees that.
+    pub fn is_immediate(self) -> bool {
         matches!(self, CloseReason::Idle | CloseReason::Room)
     }
 
@@ -54,20 +57,20 @@
         }
     }
 
-    /// Counts and logs a close.
+    /// Counts and logs the close of the connection with this number.
     pub fn record(self, counters: &Counters, connection: u64, stage: ConnectionStage) {
         self.counter(counters).increment();
-        tracing::debug!(connection, ?stage, reason = ?self, "client connection closed");
+        tracing::debug!(connection, %stage, reason = ?self, "client connection closed");
     }
 }
 
-/// Whether a connection that has been at a stage for so long may be closed to make room for others.
-pub fn may_make_room(stage: ConnectionStage, age: Duration) -> bool {
+/// Whether a connection whose client has used so much time in this stage may be evicted for another one.
+pub fn may_be_evicted(stage: ConnectionStage, time_used: Duration) -> bool {
     match stage {
         ConnectionStage::Idle => true,
-        ConnectionStage::Leaving => age >= LEAVING_LEAST,
-        ConnectionStage::Silent => age >= SILENT_LEAST,
-        ConnectionStage::Begun => age >= BEGUN_LEAST,
-        ConnectionStage::Open | ConnectionStage::Answered => false,
+        ConnectionStage::Lingering => time_used >= MIN_LINGERING_AGE,
+        ConnectionStage::Silent => time_used >= MIN_SILENT_AGE,
+        ConnectionStage::ReadingHead => time_used >= MIN_PARTIAL_HEAD_AGE,
+        ConnectionStage::InRequest | ConnectionStage::Flushing => false,
     }
 }
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -13,12 +13,12 @@
 use super::client_stream::{ClientIo, ClientStream};
 use super::close_reason::CloseReason;
 use super::connection_limits::ConnectionSlot;
-use super::connection_state::ClientState;
+use super::connection_state::{ClientState, MAX_HEAD_SIZE, Persistence, RequestVerdict};
+use super::handler::{RequestHandler, ServerResponse};
 use super::response::set_connection_close;
-use super::{BUFFER, RequestHandler, ServerResponse};
 use crate::shutdown::{CONNECT_GRACE, Shutdown, ShutdownGuard};
 
-/// What holds a connection's place among the others and keeps the process from ending before it.
+/// What an open connection keeps until its end.
 pub struct ConnectionGuard {
     /// Its share of the connection limit.
     pub slot: ConnectionSlot,
@@ -26,70 +26,85 @@
     pub shutdown: ShutdownGuard,
 }
 
-/// One request of a connection: how it arrived is added, and a connection that cannot go on is closed behind it.
-async fn one_request(
-    front: impl RequestHandler, client: Rc<ClientState>, mut request: Request<Incoming>,
-) -> Result<ServerResponse, Infallible> {
-    let arrival = client.taken(&request);
-    request.extensions_mut().insert(arrival);
-    let mut reply = front.handle(request).await;
-    let unfit = reply.status().is_client_error() && reply.status() != StatusCode::TOO_MANY_REQUESTS;
-    if !client.answered(unfit) {
-        set_connection_close(&mut reply);
-    }
-    match reply.body_mut() {
-        Either::Left(_) => client.answer_ends(),
-        Either::Right(pieces) => pieces.report_end_to(client),
-    }
-    Ok(reply)
-}
-
-/// Serves a connection until its client leaves, it has stood idle, or the process ends.
+/// Serves a connection until its client closes it, its deadline passes, it is evicted or the process ends.
 pub async fn serve_connection(
-    io: impl ClientIo, front: impl RequestHandler, shutdown: Shutdown, held: ConnectionGuard,
+    io: impl ClientIo, handler: impl RequestHandler, shutdown: Shutdown, guard: ConnectionGuard,
 ) {
-    let (client, counters) = (held.slot.client.clone(), front.counters());
+    let client = guard.slot.client.clone();
+    let counters = handler.counters();
     let stream = ClientStream::new(io, client.clone());
-    let last = stream.handle();
-    let of_request = client.clone();
-    let service = service_fn(move |request| one_request(front.clone(), of_request.clone(), request));
-    let served = http1::Builder::new().max_buf_size(BUFFER).serve_connection(TokioIo::new(stream), service);
-    // Its own box: what is left of the connection is let go of before the last bytes are read past.
-    let mut served = Box::pin(served);
-    let mut ending = Box::pin(async {
-        shutdown.wait_begun().await;
-        // The library closes a connection that waits for a request at once, also over half of a head.
-        client.nothing_arriving(CONNECT_GRACE).await;
-    });
-    let mut overdue = Box::pin(client.overdue());
-    let mut closed = Box::pin(last.closed_behind_request());
-    let mut drains = false;
+    let remaining_stream = stream.handle();
+    let service_client = client.clone();
+    let service = service_fn(move |request| answer_request(handler.clone(), service_client.clone(), request));
+    let http =
+        http1::Builder::new().max_buf_size(MAX_HEAD_SIZE).serve_connection(TokioIo::new(stream), service);
+    // Boxed, so that it can be dropped before the lingering close.
+    let mut http = Box::pin(http);
+    let mut drained = Box::pin(ready_to_drain(&shutdown, &client));
+    let mut deadline = Box::pin(client.deadline_passed());
+    let mut closed_behind_request = Box::pin(remaining_stream.closed_behind_request());
+    let mut is_draining = false;
     let reason = loop {
         tokio::select! {
             biased;
-            // First: a request that crosses this must not be begun and then dropped.
+            // First: a request that crosses the eviction must not be started and then dropped.
             () = client.evicted() => break CloseReason::Room,
-            // A client that breaks off, or a stream that broke, is told by the request's own task.
-            ended = &mut served => {
-                if let Err(error) = ended {
-                    tracing::debug!(connection = held.slot.number, %error, "client connection failed");
+            // The request's own task reports a client that disconnects and a stream that breaks.
+            finished = &mut http => {
+                if let Err(error) = finished {
+                    tracing::debug!(connection = guard.slot.number, %error, "client connection failed");
                 }
                 break CloseReason::Ended;
             }
-            () = &mut overdue => break CloseReason::overdue(client.stage()),
-            () = &mut closed => break CloseReason::ClosedBehindRequest,
-            () = &mut ending, if !drains => {
-                drains = true;
-                served.as_mut().graceful_shutdown();
+            () = &mut deadline => break CloseReason::overdue(client.stage()),
+            () = &mut closed_behind_request => break CloseReason::ClosedBehindRequest,
+            () = &mut drained, if !is_draining => {
+                is_draining = true;
+                http.as_mut().graceful_shutdown();
             }
         }
     };
-    reason.record(&counters, held.slot.number, client.stage());
-    if reason.at_once() {
+    reason.record(&counters, guard.slot.number, client.stage());
+    if reason.is_immediate() {
         return;
     }
-    drop((served, closed));
-    // The process stays until the client has closed: its end would reset what the client has not read.
-    last.leave().await;
-    drop(held);
+    drop(http);
+    drop(closed_behind_request);
+    // The guard is kept until the client has closed: the end of the process would reset what it has not read.
+    remaining_stream.linger().await;
+    drop(guard);
+}
+
+/// Answers one request. The handler learns how it arrived, and a connection that cannot be kept is closed
+/// behind the response.
+async fn answer_request(
+    handler: impl RequestHandler, client: Rc<ClientState>, mut request: Request<Incoming>,
+) -> Result<ServerResponse, Infallible> {
+    let arrival = client.request_started(&request);
+    request.extensions_mut().insert(arrival);
+    let mut response = handler.handle(request).await;
+    if client.request_answered(verdict(response.status())) == Persistence::Close {
+        set_connection_close(&mut response);
+    }
+    match response.body_mut() {
+        Either::Left(_) => client.response_complete(),
+        Either::Right(stream) => stream.report_end_to(client),
+    }
+    Ok(response)
+}
+
+/// The verdict on a request that was answered with this status.
+fn verdict(status: StatusCode) -> RequestVerdict {
+    if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
+        RequestVerdict::Invalid
+    } else {
+        RequestVerdict::Valid
+    }
+}
+
+/// Waits until the process ends and no request is on its way: at a graceful shutdown the HTTP library closes
+/// a connection that waits for a request at once, even with a part of a head read.
+async fn ready_to_drain(shutdown: &Shutdown, client: &ClientState) {
+    shutdown.wait_begun().await;
+    client.no_request_arriving(CONNECT_GRACE).await;
 }
--- a/src/server/connection_limits.rs
+++ b/src/server/connection_limits.rs
@@ -8,119 +8,120 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::close_reason::may_make_room;
+use super::close_reason::may_be_evicted;
 use super::connection_state::ClientState;
 
-/// Connections past the limit that are still taken, to be told so and closed.
-const SPARE: usize = 16;
-/// Between looks for a connection that may make room, while none may.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Connections past the limit that are still accepted, so that their clients get a 429 instead of silence.
+const MAX_EXCESS_CONNECTIONS: usize = 16;
+/// Pause between searches for a connection to evict while none may be: one may have become idle without
+/// notice.
+const EVICTION_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Room for what clients bring.
+/// Counts clients' connections and the bytes of their bodies against the limits.
 pub struct ConnectionLimiter {
     connections: RefCell<BTreeMap<u64, Rc<ClientState>>>,
-    next: Cell<u64>,
-    most: usize,
-    left: Notify,
-    bytes: Cell<usize>,
-    most_bytes: usize,
+    next_number: Cell<u64>,
+    max_connections: usize,
+    slot_released: Notify,
+    body_bytes: Cell<usize>,
+    max_body_bytes: usize,
 }
 
-/// A connection's place in the intake, given back when dropped.
+/// One connection's share of the connection limit, released when dropped.
 pub struct ConnectionSlot {
-    intake: Rc<ConnectionLimiter>,
-    /// Its number, for the log.
+    limiter: Rc<ConnectionLimiter>,
+    /// The connection's number since the start of the process, for the log.
     pub number: u64,
-    /// The state of its connection.
+    /// The connection's state.
     pub client: Rc<ClientState>,
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.intake.connections.borrow_mut().remove(&self.number);
-        self.intake.left.notify_one();
+        self.limiter.connections.borrow_mut().remove(&self.number);
+        self.limiter.slot_released.notify_one();
     }
 }
 
-/// Bytes of a body that are held, given back when dropped.
+/// One body's share of the limit on bytes, released when dropped.
 pub struct BodyAllocation {
-    intake: Rc<ConnectionLimiter>,
+    limiter: Rc<ConnectionLimiter>,
     bytes: usize,
 }
 
 impl BodyAllocation {
-    /// Room for nothing yet.
-    pub fn new(intake: Rc<ConnectionLimiter>) -> Self {
-        BodyAllocation { intake, bytes: 0 }
+    /// An allocation of no bytes.
+    pub fn new(limiter: Rc<ConnectionLimiter>) -> Self {
+        BodyAllocation { limiter, bytes: 0 }
     }
 
-    /// Room for so many bytes more, if there is any.
-    pub fn grow(&mut self, bytes: usize) -> bool {
-        let total = self.intake.bytes.get() + bytes;
-        let fits = total <= self.intake.most_bytes;
-        if fits {
-            self.intake.bytes.set(total);
-            self.bytes += bytes;
+    /// Grows by so many bytes; false, and nothing changes, where they would exceed the limit.
+    pub fn try_grow(&mut self, bytes: usize) -> bool {
+        let total = self.limiter.body_bytes.get() + bytes;
+        if total > self.limiter.max_body_bytes {
+            return false;
         }
-        fits
+        self.limiter.body_bytes.set(total);
+        self.bytes += bytes;
+        true
     }
 }
 
 impl Drop for BodyAllocation {
     fn drop(&mut self) {
-        self.intake.bytes.set(self.intake.bytes.get() - self.bytes);
+        self.limiter.body_bytes.set(self.limiter.body_bytes.get() - self.bytes);
     }
 }
 
 impl ConnectionLimiter {
-    /// Room for so many connections and so many bytes of bodies.
-    pub fn new(most: usize, most_bytes: usize) -> Rc<Self> {
-        let (next, bytes) = (Cell::new(0), Cell::new(0));
+    /// Limits to so many connections and so many bytes of bodies.
+    pub fn new(max_connections: usize, max_body_bytes: usize) -> Rc<Self> {
         Rc::new(ConnectionLimiter {
             connections: RefCell::default(),
-            next,
-            most,
-            left: Notify::new(),
-            bytes,
-            most_bytes,
+            next_number: Cell::new(0),
+            max_connections,
+            slot_released: Notify::new(),
+            body_bytes: Cell::new(0),
+            max_body_bytes,
         })
     }
 
     /// Whether more clients are connected than are served.
     pub fn over_limit(&self) -> bool {
-        self.connections.borrow().len() > self.most
+        self.connections.borrow().len() > self.max_connections
     }
 
-    /// Takes a connection in. Past the limit another one makes room, if it has no request open.
+    /// Registers an accepted connection. At the limit another one is evicted for it, where one may be.
     pub fn register(self: &Rc<Self>) -> ConnectionSlot {
-        let (number, client) = (self.next.get(), ClientState::new());
-        self.next.set(number + 1);
-        if self.connections.borrow().len() >= self.most {
-            self.make_room();
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let client = ClientState::new();
+        if self.connections.borrow().len() >= self.max_connections {
+            self.evict_one();
         }
         self.connections.borrow_mut().insert(number, client.clone());
-        ConnectionSlot { intake: self.clone(), number, client }
+        ConnectionSlot { limiter: self.clone(), number, client }
     }
 
-    /// Whether no more connections can be taken, not even to be told that there is no room.
+    /// Whether no more connections can be accepted, not even to be answered with a 429.
     pub fn is_full(&self) -> bool {
-        self.connections.borrow().len() >= self.most + SPARE
+        self.connections.borrow().len() >= self.max_connections + MAX_EXCESS_CONNECTIONS
     }
 
-    /// Waits until one more connection can be taken, if only to be told that there is no room.
+    /// Waits until one more connection can be accepted, if only to be answered with a 429.
     pub async fn wait_for_capacity(&self) {
         while self.is_full() {
-            self.make_room();
-            let _ = timeout(LOOK_AGAIN, self.left.notified()).await;
+            self.evict_one();
+            let _ = timeout(EVICTION_RETRY_DELAY, self.slot_released.notified()).await;
         }
     }
 
-    /// Of those that may go, the first by stage and time.
-    fn make_room(&self) {
-        let may_go = |client: &&Rc<ClientState>| may_make_room(client.stage(), client.age());
+    /// Evicts, of the connections that may be, the first by stage and time.
+    fn evict_one(&self) {
         let connections = self.connections.borrow();
-        let first = connections.values().filter(may_go).min_by_key(|client| client.order());
-        if let Some(client) = first {
+        let candidates =
+            connections.values().filter(|client| may_be_evicted(client.stage(), client.time_used()));
+        if let Some(client) = candidates.min_by_key(|client| client.eviction_order()) {
             client.evict();
         }
     }
--- a/src/server/listener.rs
+++ b/src/server/listener.rs
@@ -10,7 +10,7 @@
 
 use super::connection::{ConnectionGuard, serve_connection};
 use super::connection_limits::ConnectionLimiter;
-use super::connection_state::HEAD_TIME;
+use super::connection_state::HEAD_TIMEOUT;
 use super::handler::RequestHandler;
 use super::spiffe::{ClientIdentity, IdentityVerifier};
 use crate::shutdown::Shutdown;
@@ -112,7 +112,7 @@
     shutdown: Shutdown, guard: ConnectionGuard,
 ) {
     let result = tokio::select! {
-        result = timeout(HEAD_TIME, verifier.verify(socket)) => result,
+        result = timeout(HEAD_TIMEOUT, verifier.verify(socket)) => result,
         () = guard.slot.client.evicted() => return,
     };
     match result {
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -10,6 +10,7 @@
 pub mod connection_limits;
 pub mod connection_state;
 mod handler;
+mod head_scanner;
 mod listener;
 pub mod platform_api;
 pub mod request_body;
@@ -31,9 +32,6 @@
 pub use listener::serve;
 pub use stream_body::StreamBody;
 
-/// Buffer of a client's connection; heads that are longer are refused.
-pub const BUFFER: usize = 32 * 1024;
-
 /// When a client that found no room should come back, where the settings name no shorter time.
 const SHED_WAIT: Micros = 1_000_000;
 
--- a/src/server/platform_api.rs
+++ b/src/server/platform_api.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::connection_limits::ConnectionLimiter;
-use super::connection_state::Arrival;
+use super::connection_state::RequestArrival;
 use super::request_body::{BodyError, read_body};
 use super::response::{complete_response, set_connection_close, set_retry_after, stream_response};
 use super::{RequestHandler, ServerResponse, begin, shed_wait, takes_nothing_new};
@@ -171,7 +171,7 @@
         if request.method() != Method::POST {
             return Err(InvalidRequest::Method("POST"));
         }
-        if request.extensions().get::<Arrival>().is_some_and(|arrival| arrival.conflicting) {
+        if request.extensions().get::<RequestArrival>().is_some_and(|arrival| arrival.conflicting_lengths) {
             return Err(InvalidRequest::Framing);
         }
         let headers = request.headers();
--- a/src/server/request_body.rs
+++ b/src/server/request_body.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::connection_limits::{BodyAllocation, ConnectionLimiter};
-use super::connection_state::Arrival;
+use super::connection_state::RequestArrival;
 
 /// Largest body of a request.
 pub const BODY_MOST: usize = 256 * 1024;
@@ -45,7 +45,7 @@
     request: &mut Request<Incoming>, wanted: bool, intake: &Rc<ConnectionLimiter>,
 ) -> Result<(Bytes, BodyAllocation), BodyError> {
     let now = Instant::now();
-    let since = request.extensions().get::<Arrival>().map_or(now, |arrival| arrival.since);
+    let since = request.extensions().get::<RequestArrival>().map_or(now, |arrival| arrival.can_send_since);
     let until = (since + REQUEST_TIME).max(now + BODY_LEAST);
     let mut body = pin!(request.body_mut());
     let hint = body.size_hint().lower();
@@ -62,7 +62,7 @@
                 return Err(BodyError::TooLarge);
             }
             // Room is taken for what has come, not for what was announced.
-            kept = kept && seen <= BODY_MOST && room.grow(data.len());
+            kept = kept && seen <= BODY_MOST && room.try_grow(data.len());
             if kept {
                 if text.is_empty() {
                     text.reserve(hint.min(BODY_MOST as u64) as usize);
--- a/src/server/stream_body.rs
+++ b/src/server/stream_body.rs
@@ -47,7 +47,7 @@
 impl Drop for StreamBody {
     fn drop(&mut self) {
         if let Some(client) = &self.client {
-            client.answer_ends();
+            client.response_complete();
         }
     }
 }
--- a/tests/client_connection.rs
+++ b/tests/client_connection.rs
@@ -78,7 +78,7 @@
         let intake = ConnectionLimiter::new(1, 1_024);
         let (mut client, state) = connect(&intake, 64);
         client.write_all(GET.as_bytes()).await.expect("an open pipe");
-        reaches(&state, ConnectionStage::Answered).await;
+        reaches(&state, ConnectionStage::Flushing).await;
         let _other = intake.register();
         reads_answer(&mut client).await;
         // Written out, it is idle, and goes for the next one.
@@ -98,12 +98,16 @@
             .write_all(b"GET /x HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n")
             .await
             .expect("an open pipe");
-        reaches(&state, ConnectionStage::Leaving).await;
+        reaches(&state, ConnectionStage::Lingering).await;
         let _other = intake.register();
-        assert_eq!(state.stage(), ConnectionStage::Leaving, "it was chosen though its client may still read");
+        assert_eq!(
+            state.stage(),
+            ConnectionStage::Lingering,
+            "it was chosen though its client may still read"
+        );
         sleep(Duration::from_millis(500)).await;
         let _next = intake.register();
-        assert_ne!(state.stage(), ConnectionStage::Leaving, "it goes when its client has had time to read");
+        assert_ne!(state.stage(), ConnectionStage::Lingering, "it goes when its client has had time to read");
     });
 }
 
