--- a/src/main.rs
+++ b/src/main.rs
@@ -91,7 +91,7 @@
     let (discovery, address) = watch::channel(config.discovery);
     let (hangups, path) = replaced;
     spawn_local(reload::follow(hangups, path, discovery, counters.clone()));
-    let limits = config.settings.capabilities.clone();
+    let max_retry_after = config.settings.capabilities.max_retry_after;
     let core = RoutingContext { scheduler: planner, upstream, counters };
     spawn_local(run_fleet_commands(core.clone(), orders));
     spawn_local(async move { pool.run_idle_eviction().await });
@@ -115,7 +115,8 @@
         ready.send_replace(true);
     });
     let intake = ConnectionLimiter::new(config.max_clients, config.body_bytes);
-    let front = PlatformApi::new(core, (config.names, limits), intake.clone(), is_ready, shutdown.clone());
+    let front =
+        PlatformApi::new(core, config.names, max_retry_after, intake.clone(), is_ready, shutdown.clone());
     // Last: from now on clients connect, and their time runs.
     let listener = listen(config.listen).await?;
     spawn_local(serve(listener, None, intake, shutdown.clone(), move |_| front.clone()));
--- a/src/server/chat_api.rs
+++ b/src/server/chat_api.rs
@@ -11,7 +11,7 @@
 
 use super::connection_limits::ConnectionLimiter;
 use super::connection_state::RequestArrival;
-use super::request_body::{BodyError, read_body};
+use super::request_body::{BodyError, BodyUse, read_body};
 use super::response::{complete_response, set_connection_close, set_retry_after, stream_response};
 use super::spiffe::ClientIdentity;
 use super::stream_body::StreamBody;
@@ -213,11 +213,11 @@
         if request.extensions().get::<RequestArrival>().is_some_and(|arrival| arrival.conflicting_lengths) {
             return Err(ChatError::Invalid("Content-Length and Transfer-Encoding exclude each other".into()));
         }
-        let (body, room) = match read_body(&mut request, true, &self.intake).await {
+        let received = match read_body(&mut request, BodyUse::Keep, &self.intake).await {
             Err(BodyError::NoRoom) => return Err(self.shed()),
             read => read?,
         };
-        let completion = serde_json::from_slice(&body);
+        let completion = serde_json::from_slice(&received.bytes);
         let completion: Completion = completion.map_err(|e| ChatError::Invalid(e.to_string()))?;
         let mut ask = self.ask(&completion)?;
         let retries = request.headers().get(RETRY_COUNT).and_then(|v| v.to_str().ok()?.parse::<u32>().ok());
@@ -232,9 +232,9 @@
         let target = target.ok_or_else(|| ChatError::Path(String::new()))?;
         let content_type = Some(HeaderValue::from_static("application/json"));
         let idempotency_key = request.headers().get(IDEMPOTENCY_KEY).cloned();
-        let payload = RequestPayload { id, target, content_type, idempotency_key, body };
+        let payload = RequestPayload { id, target, content_type, idempotency_key, body: received.bytes };
         let streamed = !ask.unary;
-        let answer = begin(&self.core, ask, (payload, room), self.shutdown.guard());
+        let answer = begin(&self.core, ask, (payload, received.allocation), self.shutdown.guard());
         let mut reply = match answer.await {
             Ok(RoutedResponse::Body { form, pieces }) if streamed && form.is_event_stream() => {
                 stream_response(form.content_type, pieces)
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -3,6 +3,7 @@
 //! [`serve`] accepts connections, [`connection`] runs one of them, and a [`RequestHandler`] ([`platform_api`]
 //! or [`chat_api`]) answers its requests.
 
+mod api_context;
 pub mod chat_api;
 pub mod client_stream;
 pub mod close_reason;
@@ -13,7 +14,7 @@
 mod head_scanner;
 mod listener;
 pub mod platform_api;
-pub mod request_body;
+mod request_body;
 mod response;
 pub mod spiffe;
 mod stream_body;
--- /dev/null
+++ b/src/server/platform_api/mod.rs
@@ -0,0 +1,163 @@
+//! The platform's API: requests are described by headers, results by status codes.
+
+mod headers;
+mod invalid_request;
+mod open_requests;
+
+use std::rc::Rc;
+
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header::{CONTENT_TYPE, HeaderValue};
+use hyper::{Method, Request, StatusCode};
+use tokio::sync::watch;
+
+use super::api_context::{AdmittedRequest, ApiContext, has_conflicting_lengths};
+use super::connection_limits::ConnectionLimiter;
+use super::handler::{RequestHandler, ServerResponse};
+use super::request_body::{BodyError, BodyUse};
+use super::response::{complete_response, set_retry_after, stream_response};
+use crate::metrics::Counters;
+use crate::request::lifecycle::RoutedResponse;
+use crate::routing_context::RoutingContext;
+use crate::scheduler::Micros;
+use crate::shutdown::Shutdown;
+use crate::simulator::SettingNames;
+use crate::upstream::exchange::{IDEMPOTENCY_KEY, RequestPayload};
+use headers::RequestHead;
+use invalid_request::InvalidRequest;
+use open_requests::OpenRequests;
+
+const COMPLETIONS_PATH: &str = "/v1/chat/completions";
+const READY_PATH: &str = "/-/ready";
+const COUNTERS_PATH: &str = "/-/counters";
+
+/// The platform's API, for all its clients.
+#[derive(Clone)]
+pub struct PlatformApi {
+    context: ApiContext,
+    names: Rc<SettingNames>,
+    ready: watch::Receiver<bool>,
+    open_requests: OpenRequests,
+}
+
+impl RequestHandler for PlatformApi {
+    fn counters(&self) -> Rc<Counters> {
+        self.context.counters().clone()
+    }
+
+    async fn handle(self, request: Request<Incoming>) -> ServerResponse {
+        let mut response = self.route(request).await;
+        self.context.close_if_unwanted(&mut response);
+        response
+    }
+}
+
+impl PlatformApi {
+    /// The API for this deployment. It reports that it is ready once `ready` is true; `max_retry_after` is
+    /// the longest `Retry-After` that clients heed, none where they are sent none.
+    pub fn new(
+        routing: RoutingContext, names: SettingNames, max_retry_after: Option<Micros>,
+        limiter: Rc<ConnectionLimiter>, ready: watch::Receiver<bool>, shutdown: Shutdown,
+    ) -> Self {
+        PlatformApi {
+            context: ApiContext::new(routing, limiter, shutdown, max_retry_after),
+            names: Rc::new(names),
+            ready,
+            open_requests: OpenRequests::default(),
+        }
+    }
+
+    async fn route(&self, request: Request<Incoming>) -> ServerResponse {
+        match (request.method(), request.uri().path()) {
+            (_, COMPLETIONS_PATH) => match self.complete(request).await {
+                Ok(response) => response,
+                Err(error) => self.reject_invalid(&error),
+            },
+            (&Method::GET, READY_PATH) => self.readiness(),
+            (&Method::GET, COUNTERS_PATH) => {
+                text_response(StatusCode::OK, self.context.counters().to_json() + "\n")
+            }
+            (_, READY_PATH | COUNTERS_PATH) => error_response(&InvalidRequest::Method("GET")),
+            _ => error_response(&InvalidRequest::UnknownPath),
+        }
+    }
+
+    fn readiness(&self) -> ServerResponse {
+        if *self.ready.borrow() {
+            text_response(StatusCode::OK, "ready\n")
+        } else {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "no list of instances yet\n")
+        }
+    }
+
+    /// Rejects a request for its form.
+    fn reject_invalid(&self, error: &InvalidRequest) -> ServerResponse {
+        self.context.counters().malformed.increment();
+        tracing::debug!(%error, "request rejected as invalid");
+        error_response(error)
+    }
+
+    /// Rejects a request that never reached the scheduler.
+    fn shed(&self) -> ServerResponse {
+        rejection(self.context.record_shed())
+    }
+
+    async fn complete(&self, mut request: Request<Incoming>) -> Result<ServerResponse, InvalidRequest> {
+        if request.method() != Method::POST {
+            return Err(InvalidRequest::Method("POST"));
+        }
+        if has_conflicting_lengths(&request) {
+            return Err(InvalidRequest::ConflictingLengths);
+        }
+        // Also the body of an invalid request is read, so that its connection can be kept.
+        let parsed_head = RequestHead::parse(request.headers(), &self.names);
+        let body_use = if parsed_head.is_ok() { BodyUse::Keep } else { BodyUse::Discard };
+        let body = match self.context.read_body(&mut request, body_use).await {
+            Err(BodyError::NoRoom) => return Ok(self.shed()),
+            read => read?,
+        };
+        let RequestHead { id, spec } = parsed_head?;
+        if self.context.sheds_new_requests() {
+            return Ok(self.shed());
+        }
+        let Some(open_request) = self.open_requests.register(&id) else {
+            return Err(InvalidRequest::DuplicateId(id.to_string()));
+        };
+        let payload = payload(&request, id, body.bytes)?;
+        let admitted = AdmittedRequest { spec, payload, allocation: body.allocation, guard: open_request };
+        Ok(match self.context.start_request(admitted).await {
+            Ok(RoutedResponse::Body { form, pieces }) => {
+                let event_stream = HeaderValue::from_static("text/event-stream");
+                stream_response(Some(form.content_type.unwrap_or(event_stream)), pieces)
+            }
+            Ok(RoutedResponse::Rejected { retry_after }) => rejection(retry_after),
+            Ok(RoutedResponse::Failed) | Err(_) => {
+                text_response(StatusCode::BAD_GATEWAY, "the request failed and may have run\n")
+            }
+        })
+    }
+}
+
+/// What endpoints are sent of a request.
+fn payload(request: &Request<Incoming>, id: Rc<str>, body: Bytes) -> Result<RequestPayload, InvalidRequest> {
+    let target = request.uri().path_and_query().cloned().ok_or(InvalidRequest::UnknownPath)?;
+    let content_type = request.headers().get(CONTENT_TYPE).cloned();
+    let idempotency_key = request.headers().get(IDEMPOTENCY_KEY).cloned();
+    Ok(RequestPayload { id, target, content_type, idempotency_key, body })
+}
+
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> ServerResponse {
+    complete_response(status, Some(HeaderValue::from_static("text/plain")), text)
+}
+
+fn error_response(error: &InvalidRequest) -> ServerResponse {
+    text_response(error.status(), format!("{error}\n"))
+}
+
+/// The response to a request that was rejected for want of capacity and has not run.
+fn rejection(retry_after: Option<Micros>) -> ServerResponse {
+    let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, "refused: trying again is harmless\n");
+    set_retry_after(response.headers_mut(), retry_after);
+    response
+}
--- a/src/server/request_body.rs
+++ b/src/server/request_body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body, within the room and the time that it may take.
+//! Reading a request's body, within the memory and the time that it may take.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -13,22 +13,23 @@
 use super::connection_limits::{BodyAllocation, ConnectionLimiter};
 use super::connection_state::RequestArrival;
 
-/// Largest body of a request.
-pub const BODY_MOST: usize = 256 * 1024;
-/// How much of a body that is too large is read to keep the connection usable.
-const DISCARD_MOST: usize = 2 * 1024 * 1024;
-/// For a client to send a whole request: an error or a close is owed within 3 s.
-const REQUEST_TIME: Duration = Duration::from_millis(2_600);
-/// Of that, what a body gets at least.
-const BODY_LEAST: Duration = Duration::from_millis(500);
+/// Largest body of a request, in bytes.
+const MAX_BODY_SIZE: usize = 256 * 1024;
+/// Most bytes of a body that are read in all. A body that is too large is discarded up to here, so that the
+/// connection can be kept; past it a close is cheaper.
+const MAX_DISCARDED_SIZE: usize = 2 * 1024 * 1024;
+/// Time for a client to send a complete request: an error or a close is due within 3 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_600);
+/// Least time that a body gets from the end of its head on, however long the head took.
+const MIN_BODY_TIME: Duration = Duration::from_millis(500);
 
-/// Why a request's body was not taken.
+/// Why a request's body was not accepted.
 #[derive(Debug, thiserror::Error)]
-pub enum BodyError {
+pub(super) enum BodyError {
     /// It is too large.
-    #[error("the body is over {BODY_MOST} bytes")]
+    #[error("the body is over {MAX_BODY_SIZE} bytes")]
     TooLarge,
-    /// There is no room for it; it was never taken in, so trying again is harmless.
+    /// The bodies of other requests take up the memory limit; a retry is harmless.
     #[error("no room for the body")]
     NoRoom,
     /// It took too long.
@@ -39,43 +40,103 @@
     Broken(#[from] hyper::Error),
 }
 
-/// Reads a body whole. What is unwanted, a little too large or finds no room is read past, so that the connection
-/// can go on.
-pub async fn read_body(
-    request: &mut Request<Incoming>, wanted: bool, intake: &Rc<ConnectionLimiter>,
-) -> Result<(Bytes, BodyAllocation), BodyError> {
+/// What a body is read for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum BodyUse {
+    /// Its bytes are needed.
+    Keep,
+    /// It is only read past, as its request is rejected anyway.
+    Discard,
+}
+
+/// A body that was read to its end.
+pub(super) struct ReceivedBody {
+    /// Its bytes; empty if they were discarded.
+    pub(super) bytes: Bytes,
+    /// Its share of the memory limit.
+    pub(super) allocation: BodyAllocation,
+}
+
+/// Reads a body to its end. One that is discarded, a little too large or finds no memory is read past, so
+/// that the connection can be kept.
+///
+/// # Errors
+///
+/// The body is too large, finds no memory, arrives too late or breaks off.
+pub(super) async fn read_body(
+    request: &mut Request<Incoming>, body_use: BodyUse, limiter: &Rc<ConnectionLimiter>,
+) -> Result<ReceivedBody, BodyError> {
     let now = Instant::now();
-    let since = request.extensions().get::<RequestArrival>().map_or(now, |arrival| arrival.can_send_since);
-    let until = (since + REQUEST_TIME).max(now + BODY_LEAST);
+    let arrival = request.extensions().get::<RequestArrival>();
+    let can_send_since = arrival.map_or(now, |arrival| arrival.can_send_since);
+    let deadline = (can_send_since + REQUEST_TIMEOUT).max(now + MIN_BODY_TIME);
     let mut body = pin!(request.body_mut());
-    let hint = body.size_hint().lower();
-    if hint > DISCARD_MOST as u64 {
+    let announced = body.size_hint().lower();
+    if announced > MAX_DISCARDED_SIZE as u64 {
         return Err(BodyError::TooLarge);
     }
-    let mut room = BodyAllocation::new(intake.clone());
-    let read = async {
-        let (mut text, mut seen, mut kept) = (BytesMut::new(), 0, wanted);
+    let mut buffer = BodyBuffer::new(body_use, announced, limiter.clone());
+    let read_to_end = async {
         while let Some(frame) = body.frame().await {
-            let Ok(data) = frame?.into_data() else { continue };
-            seen += data.len();
-            if seen > DISCARD_MOST {
-                return Err(BodyError::TooLarge);
-            }
-            // Room is taken for what has come, not for what was announced.
-            kept = kept && seen <= BODY_MOST && room.try_grow(data.len());
-            if kept {
-                if text.is_empty() {
-                    text.reserve(hint.min(BODY_MOST as u64) as usize);
-                }
-                text.extend_from_slice(&data);
+            if let Ok(data) = frame?.into_data() {
+                buffer.push(&data)?;
             }
         }
-        match (seen > BODY_MOST, kept || !wanted) {
-            (true, _) => Err(BodyError::TooLarge),
-            (false, true) => Ok(text.freeze()),
-            (false, false) => Err(BodyError::NoRoom),
-        }
+        Ok(())
     };
-    let text = timeout_at(until, read).await.unwrap_or(Err(BodyError::Slow))?;
-    Ok((text, room))
+    timeout_at(deadline, read_to_end).await.unwrap_or(Err(BodyError::Slow))?;
+    buffer.finish()
+}
+
+/// The part of a body that has arrived.
+struct BodyBuffer {
+    body_use: BodyUse,
+    /// Length that the head announced, in bytes, at least.
+    announced: u64,
+    received: usize,
+    /// All that was received is in `bytes`.
+    is_kept: bool,
+    bytes: BytesMut,
+    allocation: BodyAllocation,
+}
+
+impl BodyBuffer {
+    fn new(body_use: BodyUse, announced: u64, limiter: Rc<ConnectionLimiter>) -> Self {
+        BodyBuffer {
+            body_use,
+            announced,
+            received: 0,
+            is_kept: body_use == BodyUse::Keep,
+            bytes: BytesMut::new(),
+            allocation: BodyAllocation::new(limiter),
+        }
+    }
+
+    /// Adds bytes that arrived. Memory is allocated for these, not for what was announced.
+    fn push(&mut self, data: &[u8]) -> Result<(), BodyError> {
+        self.received += data.len();
+        if self.received > MAX_DISCARDED_SIZE {
+            return Err(BodyError::TooLarge);
+        }
+        self.is_kept = self.is_kept && self.received <= MAX_BODY_SIZE && self.allocation.try_grow(data.len());
+        if !self.is_kept {
+            return Ok(());
+        }
+        if self.bytes.is_empty() {
+            self.bytes.reserve(self.announced.min(MAX_BODY_SIZE as u64) as usize);
+        }
+        self.bytes.extend_from_slice(data);
+        Ok(())
+    }
+
+    /// The body, at its end.
+    fn finish(self) -> Result<ReceivedBody, BodyError> {
+        if self.received > MAX_BODY_SIZE {
+            return Err(BodyError::TooLarge);
+        }
+        if self.body_use == BodyUse::Keep && !self.is_kept {
+            return Err(BodyError::NoRoom);
+        }
+        Ok(ReceivedBody { bytes: self.bytes.freeze(), allocation: self.allocation })
+    }
 }
