--- /dev/null
+++ b/src/server/chat_api/mod.rs
@@ -0,0 +1,195 @@
+//! The public chat completions API, streamed or as one response.
+
+mod completion;
+mod error;
+mod request_ids;
+
+use std::rc::Rc;
+
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header::{HeaderMap, HeaderName, HeaderValue};
+use hyper::{Method, Request, StatusCode};
+use serde::Serialize;
+use serde_json::json;
+use tokio::time::Instant;
+
+use super::api_context::{AdmittedRequest, ApiContext, has_conflicting_lengths};
+use super::connection_limits::ConnectionLimiter;
+use super::handler::{RequestHandler, ServerResponse};
+use super::request_body::{BodyError, BodyUse};
+use super::response::{complete_response, stream_response};
+use super::spiffe::ClientIdentity;
+use super::stream_body::StreamBody;
+use crate::config::ChatConfig;
+use crate::metrics::Counters;
+use crate::request::lifecycle::RoutedResponse;
+use crate::routing_context::RoutingContext;
+use crate::scheduler::Micros;
+use crate::shutdown::Shutdown;
+use crate::upstream::exchange::{IDEMPOTENCY_KEY, RequestPayload};
+use completion::Completion;
+use error::ChatError;
+use request_ids::RequestIds;
+
+const COMPLETIONS_PATH: &str = "/v1/chat/completions";
+const MODELS_PATH: &str = "/v1/models";
+const READY_PATH: &str = "/-/ready";
+const COUNTERS_PATH: &str = "/-/counters";
+
+/// The id under which the log has a request.
+const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+/// How often a public client library has retried a request.
+const RETRY_COUNT: HeaderName = HeaderName::from_static("x-stainless-retry-count");
+
+/// The owner in the list of models. Clients read it and may compare it, so it keeps the router's former name.
+const MODEL_OWNER: &str = "croftsill";
+
+/// The chat API, for one client or, without an identity, for all of them.
+#[derive(Clone)]
+pub struct ChatApi {
+    context: ApiContext,
+    config: Rc<ChatConfig>,
+    request_ids: Rc<RequestIds>,
+    peer: ClientIdentity,
+}
+
+impl RequestHandler for ChatApi {
+    fn counters(&self) -> Rc<Counters> {
+        self.context.counters().clone()
+    }
+
+    async fn handle(self, request: Request<Incoming>) -> ServerResponse {
+        let mut response = match self.route(request).await {
+            Ok(response) => response,
+            Err(error) => self.error_response(&error),
+        };
+        self.context.close_if_unwanted(&mut response);
+        response
+    }
+}
+
+impl ChatApi {
+    /// The API with this configuration; the seed makes the ids of its requests differ from those of other
+    /// replicas and other runs.
+    pub fn new(
+        routing: RoutingContext, config: Rc<ChatConfig>, limiter: Rc<ConnectionLimiter>, shutdown: Shutdown,
+        seed: u64,
+    ) -> Self {
+        let max_retry_after = config.settings.capabilities.max_retry_after;
+        ChatApi {
+            context: ApiContext::new(routing, limiter, shutdown, max_retry_after),
+            config,
+            request_ids: Rc::new(RequestIds::new(seed)),
+            peer: ClientIdentity::Unverified,
+        }
+    }
+
+    /// The same API for a client with this identity.
+    pub fn for_peer(&self, peer: ClientIdentity) -> Self {
+        ChatApi { peer, ..self.clone() }
+    }
+
+    async fn route(&self, request: Request<Incoming>) -> Result<ServerResponse, ChatError> {
+        if let ClientIdentity::Denied(id) = &self.peer {
+            return Err(ChatError::IdentityDenied(id.clone()));
+        }
+        match (request.method(), request.uri().path()) {
+            (&Method::POST, COMPLETIONS_PATH) => self.complete(request).await,
+            (_, COMPLETIONS_PATH) => Err(ChatError::Method("POST")),
+            (&Method::GET, MODELS_PATH) => Ok(self.list_models()),
+            (&Method::GET, READY_PATH) => Ok(complete_response(StatusCode::OK, None, "ready\n")),
+            (&Method::GET, COUNTERS_PATH) => {
+                Ok(json_response(StatusCode::OK, &self.context.counters().all()))
+            }
+            (_, MODELS_PATH | READY_PATH | COUNTERS_PATH) => Err(ChatError::Method("GET")),
+            (_, path) => Err(ChatError::UnknownPath(path.to_owned())),
+        }
+    }
+
+    fn list_models(&self) -> ServerResponse {
+        let model = |id: &String| json!({"id": id, "object": "model", "created": 0, "owned_by": MODEL_OWNER});
+        let models: Vec<_> = self.config.models.keys().map(model).collect();
+        json_response(StatusCode::OK, &json!({"object": "list", "data": models}))
+    }
+
+    /// The response to a request that was not routed; one that was invalid is counted and logged.
+    fn error_response(&self, error: &ChatError) -> ServerResponse {
+        if error.is_invalid_request() {
+            self.context.counters().malformed.increment();
+            let status = error.status();
+            tracing::debug!(%status, %error, "chat request rejected as invalid");
+        }
+        error.to_response()
+    }
+
+    /// Rejects a request that never reached the scheduler.
+    fn shed(&self) -> ChatError {
+        ChatError::Rejected { retry_after: self.context.record_shed() }
+    }
+
+    async fn complete(&self, mut request: Request<Incoming>) -> Result<ServerResponse, ChatError> {
+        let arrived_at = Instant::now();
+        if has_conflicting_lengths(&request) {
+            return Err(ChatError::ConflictingLengths);
+        }
+        let body = match self.context.read_body(&mut request, BodyUse::Keep).await {
+            Err(BodyError::NoRoom) => return Err(self.shed()),
+            read => read?,
+        };
+        let completion: Completion = serde_json::from_slice(&body.bytes).map_err(ChatError::MalformedBody)?;
+        let mut spec = completion.to_spec(&self.config)?;
+        spec.is_retry = retry_count(request.headers()) > 0;
+        spec.client_timeout -= arrived_at.elapsed().as_micros() as Micros;
+        if self.context.sheds_new_requests() {
+            return Err(self.shed());
+        }
+        let id = self.request_ids.next();
+        let payload = payload(&request, id.clone(), body.bytes)?;
+        let is_unary = spec.unary;
+        let admitted = AdmittedRequest { spec, payload, allocation: body.allocation, guard: () };
+        // No answer means that the request's task has ended without one.
+        let routed = self.context.start_request(admitted).await.unwrap_or(RoutedResponse::Failed);
+        let mut response = routed_response(routed, is_unary).await;
+        if let Ok(id) = HeaderValue::from_str(&id) {
+            response.headers_mut().insert(REQUEST_ID, id);
+        }
+        Ok(response)
+    }
+}
+
+/// How often the client has retried this request; 0 where it does not say.
+fn retry_count(headers: &HeaderMap) -> u32 {
+    let count = headers.get(RETRY_COUNT).and_then(|value| value.to_str().ok()?.parse().ok());
+    count.unwrap_or(0)
+}
+
+/// What endpoints are sent of a request.
+fn payload(request: &Request<Incoming>, id: Rc<str>, body: Bytes) -> Result<RequestPayload, ChatError> {
+    let target = request.uri().path_and_query().cloned();
+    let target = target.ok_or_else(|| ChatError::UnknownPath(String::new()))?;
+    let content_type = Some(HeaderValue::from_static("application/json"));
+    let idempotency_key = request.headers().get(IDEMPOTENCY_KEY).cloned();
+    Ok(RequestPayload { id, target, content_type, idempotency_key, body })
+}
+
+/// The response to a request that was routed.
+async fn routed_response(routed: RoutedResponse, is_unary: bool) -> ServerResponse {
+    match routed {
+        RoutedResponse::Body { form, pieces } if !is_unary && form.is_event_stream() => {
+            stream_response(form.content_type, pieces)
+        }
+        // A client must not see the head of a single response before all of it has arrived.
+        RoutedResponse::Body { form, pieces } => match StreamBody::new(pieces).collect().await {
+            Ok(body) => complete_response(form.status, form.content_type, body),
+            Err(_) => ChatError::Failed.to_response(),
+        },
+        RoutedResponse::Rejected { retry_after } => ChatError::Rejected { retry_after }.to_response(),
+        RoutedResponse::Failed => ChatError::Failed.to_response(),
+    }
+}
+
+fn json_response(status: StatusCode, value: &impl Serialize) -> ServerResponse {
+    let text = serde_json::to_vec(value).unwrap_or_default();
+    complete_response(status, Some(HeaderValue::from_static("application/json")), text)
+}
