--- a/src/server/head_scanner.rs
+++ b/src/server/head_scanner.rs
@@ -61,7 +61,7 @@
         };
         let begins = head.is_empty();
         let head_bytes = if begins { skip_empty_lines(bytes) } else { bytes };
-        if head_bytes.is_empty() {
+        if begins && head_bytes.is_empty() {
             return false;
         }
         // An end may lie across the bytes that came before and these.
