--- a/src/server/close_reason.rs
+++ b/src/server/close_reason.rs
@@ -15,7 +15,7 @@
 /// reading that response, which a close over unread bytes would destroy.
 const MIN_LINGERING_AGE: Duration = Duration::from_millis(250);
 
-/// Why a client's connection is closed.
+/// Why a client's connection is closed. The log has the variants by their names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// Its client closed or broke it, or it has had its last response.
