--- a/src/startup.rs
+++ b/src/startup.rs
@@ -193,10 +193,10 @@
     let ready = start_discovery(&config, context.clone(), process.clock, discovery_changes);
 
     let limiter = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
-    let capabilities = config.settings.capabilities;
+    let max_retry_after = config.settings.capabilities.max_retry_after;
     let shutdown = process.shutdown.clone();
     let api =
-        PlatformApi::new(context, (config.names, capabilities), limiter.clone(), ready, shutdown.clone());
+        PlatformApi::new(context, config.names, max_retry_after, limiter.clone(), ready, shutdown.clone());
     let listener = listen(config.listen).await?;
     spawn_local(serve(listener, None, limiter, shutdown, move |_| api.clone()));
     tracing::info!(api = "platform", name = %config.name, address = %config.listen, "listening");
--- a/tests/client_connection.rs
+++ b/tests/client_connection.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use inference_router::metrics::Counters;
-use inference_router::server::connection::serve_connection;
+use inference_router::server::connection::{ConnectionGuard, serve_connection};
 use inference_router::server::connection_limits::ConnectionLimiter;
 use inference_router::server::connection_state::{ClientState, ConnectionStage};
 use inference_router::server::{RequestHandler, ServerResponse};
@@ -44,11 +44,10 @@
 /// A served connection over a pipe of this size: the client's end, and the state of the connection.
 fn connect(limiter: &Rc<ConnectionLimiter>, pipe: usize) -> (DuplexStream, Rc<ClientState>) {
     let (client, server) = tokio::io::duplex(pipe);
-    let connection = limiter.register();
     let shutdown = Shutdown::default();
-    let state = connection.client.clone();
-    let pending = shutdown.guard();
-    spawn_local(serve_connection(server, FixedAnswer, shutdown, (connection, pending)));
+    let guard = ConnectionGuard { slot: limiter.register(), shutdown: shutdown.guard() };
+    let state = guard.slot.client.clone();
+    spawn_local(serve_connection(server, FixedAnswer, shutdown, guard));
     (client, state)
 }
 
@@ -81,7 +80,7 @@
         let limiter = ConnectionLimiter::new(1, 1_024);
         let (mut client, state) = connect(&limiter, 64);
         client.write_all(GET.as_bytes()).await.expect("an open pipe");
-        wait_for_stage(&state, ConnectionStage::Answered).await;
+        wait_for_stage(&state, ConnectionStage::Flushing).await;
         let _other = limiter.register();
         read_answer(&mut client).await;
         // Once it is written, the connection is idle, and is closed for the next one.
@@ -101,12 +100,16 @@
             .write_all(b"GET /x HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n")
             .await
             .expect("an open pipe");
-        wait_for_stage(&state, ConnectionStage::Leaving).await;
+        wait_for_stage(&state, ConnectionStage::Lingering).await;
         let _other = limiter.register();
-        assert_eq!(state.stage(), ConnectionStage::Leaving, "it was chosen though its client may still read");
+        assert_eq!(
+            state.stage(),
+            ConnectionStage::Lingering,
+            "it was chosen though its client may still read"
+        );
         sleep(Duration::from_millis(500)).await;
         let _next = limiter.register();
-        assert_ne!(state.stage(), ConnectionStage::Leaving, "it goes when its client has had time to read");
+        assert_ne!(state.stage(), ConnectionStage::Lingering, "it goes when its client has had time to read");
     });
 }
 
