--- a/src/scheduler/endpoint.rs
+++ b/src/scheduler/endpoint.rs
@@ -7,7 +7,7 @@
 const CELL_SLACK: f64 = 1.15; // of a cell's part of the states that its decode endpoints take alone
 /// Weight of a decode endpoint whose cell has none to spare, against an idle one.
 const SPARE_LEAST: f64 = 0.05;
-const KEPT_MOST: usize = 2_000; // texts remembered as kept at one endpoint: bounds the memory used
+const KEPT_MOST: usize = 2_000; // texts remembered as cached_tokens at one endpoint: bounds the memory used
 /// For which an endpoint rests after a failure, doubling with each further one....
 const REST: Micros = 250_000;
 const REST_MOST: Micros = 2_000_000; // ...up to this, so that it is soon found when it is back
@@ -26,7 +26,7 @@
             gone.for_each(|(_, endpoint)| endpoint.phase = Lifecycle::Removed);
         }
         for m in members {
-            let Some(kind) = self.set.kinds.get(m.kind.0) else { continue };
+            let Some(kind) = self.settings.kinds.get(m.kind.0) else { continue };
             let endpoint = self.endpoints.entry(m.endpoint).or_insert_with(|| EndpointState {
                 id: m.endpoint,
                 zone: m.zone,
@@ -39,7 +39,7 @@
             endpoint.phase = m.lifecycle;
             if m.started_at > endpoint.started {
                 endpoint.started = m.started_at;
-                endpoint.kept.clear();
+                endpoint.cached_prefixes.clear();
                 self.start_slowly(now, m.endpoint);
             }
         }
@@ -60,8 +60,8 @@
         for h in self.endpoints.values_mut() {
             let (near, at) = cells.get(&h.cell).copied().unwrap_or_default();
             let share = (at / f64::max(decode, 1.0)) / (near / f64::max(prefill, 1.0)).max(1e-9);
-            h.stay = CELL_SLACK * share;
-            h.spare = (1.0 - 1.0 / share.max(1e-9)).max(SPARE_LEAST);
+            h.local_capacity_ratio = CELL_SLACK * share;
+            h.remote_capacity_weight = (1.0 - 1.0 / share.max(1e-9)).max(SPARE_LEAST);
         }
     }
 
@@ -81,23 +81,24 @@
     pub(super) fn takes(&self, now: Micros, endpoint: &EndpointState, r: &Request) -> bool {
         endpoint.phase == Lifecycle::Ready
             && self.may_run_at(now, r, endpoint.id)
-            && now >= endpoint.rest_until.max(endpoint.stuck_until)
+            && now >= endpoint.ejected_until.max(endpoint.transfer_stalled_until)
             && r.avoided.is_none_or(|(at, until)| at != endpoint.id || now >= until)
-            && (endpoint.fails == 0 || endpoint.pending.is_empty())
-            && endpoint.full_until.get(&(r.ask.class, r.ask.tenant)).is_none_or(|&at| now >= at)
-            && (endpoint.warmth(now, &self.set.rules) >= 1.0 || self.slow_start_budget(now, endpoint) >= 1.0)
+            && (endpoint.consecutive_failures == 0 || endpoint.pending.is_empty())
+            && endpoint.backpressure_until.get(&(r.spec.class, r.spec.tenant)).is_none_or(|&at| now >= at)
+            && (endpoint.warmup_factor(now, &self.settings.rules) >= 1.0
+                || self.slow_start_budget(now, endpoint) >= 1.0)
     }
 
     /// What comes in here, a microsecond, for each prefill endpoint or each decode endpoint.
     pub(super) fn own_rate(&self, now: Micros, prefill: bool) -> f64 {
-        let seen = 1.0 - 0.5f64.powf((now - self.since.unwrap_or(now)) as f64 / FADE);
-        let rate = self.arrivals.get(now, 0.0) / seen.max(SEEN_LEAST) / FADE;
+        let seen = 1.0 - 0.5f64.powf((now - self.since.unwrap_or(now)) as f64 / HALF_LIFE);
+        let rate = self.arrivals.get(now, 0.0) / seen.max(SEEN_LEAST) / HALF_LIFE;
         rate / (if prefill { self.serving.0 } else { self.serving.1 }).max(1) as f64
     }
 
     /// Whether own requests bring reports from each such endpoint as often as these are made anew.
     fn hears(&self, now: Micros, prefill: bool) -> bool {
-        self.set.replicas < 2 || self.own_rate(now, prefill) * REPORT as f64 > 1.0
+        self.settings.replicas < 2 || self.own_rate(now, prefill) * REPORT as f64 > 1.0
     }
 
     /// What others hold of a decode endpoint's memory, from its report; absurd reports are passed over.
@@ -105,23 +106,26 @@
         if let (Some(endpoint), Some(tokens)) =
             (self.endpoints.get_mut(&at), load.and_then(|l| l.queued_prefill_tokens))
         {
-            (endpoint.backlog, endpoint.told_at) = (tokens.max(0.0).min(endpoint.memory), now);
+            (endpoint.queued_prefill_tokens, endpoint.queue_reported_at) =
+                (tokens.max(0.0).min(endpoint.memory), now);
         }
         let endpoint = self.endpoints.get(&at).filter(|h| h.role != Role::Prefill && h.memory.is_finite());
         let share = load.and_then(|load| load.memory_utilization).filter(|share| (0.0..=2.0).contains(share));
         let (Some(endpoint), Some(share)) = (endpoint, share) else { return };
         let others =
             (share * endpoint.memory - self.own_tokens(endpoint, |r| r.stage == Stage::Streaming)).max(0.0);
-        self.others += FLEET_GAIN * (others / endpoint.memory.max(1.0) - self.others);
-        self.endpoints.entry(at).and_modify(|h| h.others = Some(DecayingAverage { value: others, at: now }));
+        self.external_share += FLEET_GAIN * (others / endpoint.memory.max(1.0) - self.external_share);
+        self.endpoints
+            .entry(at)
+            .and_modify(|h| h.external_tokens = Some(DecayingAverage { value: others, at: now }));
     }
 
     /// Asks the decode endpoints how much others hold there, where own streams tell this router too seldom.
     pub(super) fn probe(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if !self.set.capabilities.health_checks || self.requests.is_empty() || self.hears(now, false) {
+        if !self.settings.capabilities.health_checks || self.requests.is_empty() || self.hears(now, false) {
             return;
         }
-        let every = PROBE_EACH * f64::from(self.set.replicas);
+        let every = PROBE_EACH * f64::from(self.settings.replicas);
         let due = |h: &&mut EndpointState| {
             h.role != Role::Prefill && h.phase == Lifecycle::Ready && now >= h.probe_at
         };
@@ -129,7 +133,7 @@
             let first = endpoint.probe_at == 0;
             out.extend((!first).then_some(Action::HealthCheck(endpoint.id)));
             // By chance, lest all are asked at once for ever, or by all routers at the start.
-            let draw = chance(endpoint.id.0, now as u64 ^ self.salt) + if first { 0.0 } else { 0.5 };
+            let draw = unit_hash(endpoint.id.0, now as u64 ^ self.salt) + if first { 0.0 } else { 0.5 };
             endpoint.probe_at = now.saturating_add((every * draw) as Micros);
         }
     }
@@ -137,7 +141,7 @@
     /// Asks a prompt's first prefill endpoints how much waits there, where own reads tell this router too
     /// seldom.
     pub(super) fn ask_prefill(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
-        if !self.set.capabilities.health_checks || self.hears(now, true) {
+        if !self.settings.capabilities.health_checks || self.hears(now, true) {
             return;
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
@@ -151,8 +155,8 @@
     /// A first token took this long, or longer when the attempt timed out.
     pub(super) fn first_token(&mut self, now: Micros, at: EndpointId, took: Micros) {
         let Some(endpoint) = self.endpoints.get_mut(&at) else { return };
-        endpoint.first_took.learn(now, self.first_took.value, took as f64, HOST_GAIN);
-        self.first_took.follow(now, took as f64);
+        endpoint.first_token_latency.learn(now, self.first_token_latency.value, took as f64, HOST_GAIN);
+        self.first_token_latency.follow(now, took as f64);
     }
 
     pub(super) fn served(&mut self, now: Micros, id: RequestId, at: EndpointId) {
@@ -169,55 +173,67 @@
         &mut self, now: Micros, id: RequestId, at: EndpointId, unread: f64, took: Micros,
     ) {
         let Some(r) = self.requests.get(&id) else { return };
-        self.learn_read(now, at, (r.read_load - r.unread + unread).max(READ_EXTRA), took as f64);
+        self.learn_prefill_time(
+            now,
+            at,
+            (r.read_load - r.unread + unread).max(PREFILL_OVERHEAD_TOKENS),
+            took as f64,
+        );
     }
 
-    pub(super) fn learn_read(&mut self, now: Micros, at: EndpointId, tokens: f64, took: f64) {
+    pub(super) fn learn_prefill_time(&mut self, now: Micros, at: EndpointId, tokens: f64, took: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&at) else { return };
-        let warmth = endpoint.warmth(now, &self.set.rules);
-        let cost = took * warmth / tokens;
-        self.read_cost += HOST_GAIN * (cost - self.read_cost).min(COST_RISE * self.read_cost);
-        let wait = (took - tokens * self.read_cost / warmth).max(0.0);
-        endpoint.read_wait.learn(now, self.read_wait.value, wait, HOST_GAIN);
-        self.read_wait.follow(now, wait);
+        let warmup_factor = endpoint.warmup_factor(now, &self.settings.rules);
+        let cost = took * warmup_factor / tokens;
+        self.prefill_cost_per_token +=
+            HOST_GAIN * (cost - self.prefill_cost_per_token).min(COST_RISE * self.prefill_cost_per_token);
+        let wait = (took - tokens * self.prefill_cost_per_token / warmup_factor).max(0.0);
+        endpoint.prefill_wait.learn(now, self.prefill_wait.value, wait, HOST_GAIN);
+        self.prefill_wait.follow(now, wait);
     }
 
-    pub(super) fn was_read(&mut self, now: Micros, id: RequestId, at: EndpointId, kept: f64, took: Micros) {
+    pub(super) fn was_read(
+        &mut self, now: Micros, id: RequestId, at: EndpointId, cached_tokens: f64, took: Micros,
+    ) {
         self.worked(now, at);
         let Some(r) = self.requests.get(&id) else { return };
-        if let Some(rank) = r.preferred.iter().position(|&h| h == at && r.ask.prefix.is_some()) {
-            let share = (kept / r.ask.prefix_tokens.max(1.0)).min(1.0);
-            self.kept_share[rank] += FLEET_GAIN * (share - self.kept_share[rank]);
+        if let Some(rank) = r.preferred.iter().position(|&h| h == at && r.spec.prefix.is_some()) {
+            let share = (cached_tokens / r.spec.prefix_tokens.max(1.0)).min(1.0);
+            self.cache_hit_ratio[rank] += FLEET_GAIN * (share - self.cache_hit_ratio[rank]);
         }
-        self.read_took(now, id, at, (r.ask.prompt_tokens - kept).max(0.0), took);
+        self.read_took(now, id, at, (r.spec.prompt_tokens - cached_tokens).max(0.0), took);
         let (Some(r), Some(endpoint)) = (self.requests.get(&id), self.endpoints.get_mut(&at)) else { return };
         // Kept texts went void: believe none of them until they are read again.
-        if kept < Self::known_at(endpoint, r) / 2.0 || endpoint.kept.len() >= KEPT_MOST {
-            endpoint.kept.clear();
+        if cached_tokens < Self::known_at(endpoint, r) / 2.0 || endpoint.cached_prefixes.len() >= KEPT_MOST {
+            endpoint.cached_prefixes.clear();
         }
-        endpoint.kept.extend(r.ask.prefix.map(|key| (key, r.ask.prefix_tokens)));
-        endpoint.kept.extend(r.ask.session.map(|key| (key, r.ask.prompt_tokens)));
+        endpoint.cached_prefixes.extend(r.spec.prefix.map(|key| (key, r.spec.prefix_tokens)));
+        endpoint.cached_prefixes.extend(r.spec.session.map(|key| (key, r.spec.prompt_tokens)));
     }
 
     /// A failure rests the endpoint, longer each time; one of many sent before it counts no further.
     pub(super) fn failed(&mut self, now: Micros, at: EndpointId, sent_at: Micros, out: &mut Vec<Action>) {
-        let counts = |endpoint: &&mut EndpointState| endpoint.fails == 0 || sent_at >= endpoint.failed_at;
+        let counts = |endpoint: &&mut EndpointState| {
+            endpoint.consecutive_failures == 0 || sent_at >= endpoint.failed_at
+        };
         let Some(endpoint) = self.endpoints.get_mut(&at).filter(counts) else { return };
-        (endpoint.fails, endpoint.failed_at) = (endpoint.fails + 1, now);
-        endpoint.rest_until = now + (REST << (endpoint.fails - 1).min(10)).min(REST_MOST);
+        (endpoint.consecutive_failures, endpoint.failed_at) = (endpoint.consecutive_failures + 1, now);
+        endpoint.ejected_until = now + (REST << (endpoint.consecutive_failures - 1).min(10)).min(REST_MOST);
         let line = || Action::Log(format!("host {} fails again and again: single trials only", at.0));
-        out.extend((endpoint.fails == FAILS_RESTART).then(line));
+        out.extend((endpoint.consecutive_failures == FAILS_RESTART).then(line));
     }
 
     /// An answer of any use ends the rest; after a long silence the endpoint is taken for cold.
     pub(super) fn worked(&mut self, now: Micros, at: EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(&at) else { return };
         let warm =
-            endpoint.started.is_none_or(|s| s < endpoint.failed_at - self.set.rules.slow_start_duration);
-        if endpoint.fails >= FAILS_RESTART && warm {
+            endpoint.started.is_none_or(|s| s < endpoint.failed_at - self.settings.rules.slow_start_duration);
+        if endpoint.consecutive_failures >= FAILS_RESTART && warm {
             endpoint.started = Some(now);
             self.start_slowly(now, at);
         }
-        self.endpoints.entry(at).and_modify(|h| (h.fails, h.malformed, h.rest_until) = (0, 0, now));
+        self.endpoints
+            .entry(at)
+            .and_modify(|h| (h.consecutive_failures, h.malformed, h.ejected_until) = (0, 0, now));
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -21,9 +21,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 pub use action::Action;
-use decaying_average::{DecayingAverage, FADE};
+use decaying_average::{DecayingAverage, HALF_LIFE};
 pub use event::{EndpointUpdate, Event, Lifecycle, LoadReport, RequestSpec};
-use hashing::{chance, weighted};
+use hashing::{rendezvous_score, unit_hash};
 pub use ids::*;
 pub use outcome::Outcome;
 pub use settings::{
@@ -33,9 +33,9 @@
 
 // Each with its unit and reason; times are in microseconds. None is fitted to one deployment.
 const TICK: Micros = 5_000; // between looks at what is held: short against every aim
-const READ_EXTRA: f64 = 300.0; // tokens added to each read for what does not depend on its length
-const READ_COST: f64 = 80.0; // to read one token, until reads have been seen...
-const FIRST_TOOK: f64 = 100_000.0; // from a send to the first token, until some have been seen
+const PREFILL_OVERHEAD_TOKENS: f64 = 300.0; // tokens added to each for what does not depend on its length
+const INITIAL_PREFILL_COST: f64 = 80.0; // to read one token, until reads have been seen...
+const INITIAL_FIRST_TOKEN_LATENCY: f64 = 100_000.0; // to the first token, until some have been seen
 const FLEET_GAIN: f64 = 0.05; // and in the fleet's
 const PREFERRED: usize = 3; // of a beginning, all asked: it may outgrow one, yet each must read it first
 const PATIENCE_EXTRA: f64 = 300_000.0; // ...and added to it
@@ -53,32 +53,32 @@
     memory: f64,
     phase: Lifecycle,
     started: Option<Micros>,
-    fails: u32,
+    consecutive_failures: u32,
     /// Of a prefill endpoint: until when nothing is read there, as decode endpoints could not fetch its
     /// states.
-    stuck_until: Micros,
+    transfer_stalled_until: Micros,
     /// Answers in a row that could not be read.
     malformed: u32,
     failed_at: Micros,
-    rest_until: Micros,
-    full_until: BTreeMap<(ClassId, Option<TenantId>), Micros>,
+    ejected_until: Micros,
+    backpressure_until: BTreeMap<(ClassId, Option<TenantId>), Micros>,
     slow_start: slow_start::SlowStart,
     probe_at: Micros,
     /// Attempts without a first answer, by the time they were sent.
     pending: BTreeMap<RequestId, Micros>,
     /// What reads take there beyond their own tokens: others' reads come before them.
-    read_wait: DecayingAverage,
+    prefill_wait: DecayingAverage,
     /// Share of its states that its cell's decode endpoints can take, and of its writing left to other cells.
-    stay: f64,
-    spare: f64,
-    kept: BTreeMap<CacheKey, f64>,
+    local_capacity_ratio: f64,
+    remote_capacity_weight: f64,
+    cached_prefixes: BTreeMap<CacheKey, f64>,
     streams: BTreeSet<RequestId>,
-    first_took: DecayingAverage,
+    first_token_latency: DecayingAverage,
     /// Tokens that others hold, from the reports.
-    others: Option<DecayingAverage>,
+    external_tokens: Option<DecayingAverage>,
     /// Of a prefill endpoint: tokens that waited to be read there, and when it said so.
-    backlog: f64,
-    told_at: Micros,
+    queued_prefill_tokens: f64,
+    queue_reported_at: Micros,
 }
 
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
@@ -86,9 +86,9 @@
     #[default]
     High,
     Low,
-    Reading,
-    Ready,
-    Writing,
+    Prefilling,
+    Prefilled,
+    Decoding,
     Streaming,
 }
 
@@ -101,13 +101,13 @@
 
 #[derive(Default)]
 struct Request {
-    ask: RequestSpec,
-    aim_at: Micros,
+    spec: RequestSpec,
+    objective_at: Micros,
     deadline: Micros,
     /// Guessed answer length, the same with its prompt, and the wanted pace.
     tokens: f64,
     footprint: f64,
-    token_aim: f64,
+    inter_token_objective: f64,
     stage: Stage,
     /// Attempts ordered, and those of them that this router never sent.
     sent: u32,
@@ -122,13 +122,13 @@
     read_load: f64,
     from_low: bool,
     /// Since when a state waits with no attempt out; whether all would be past its aim.
-    ready_since: Micros,
+    reserved_since: Micros,
     late: bool,
     /// The cell of the decode endpoint that stayed silent last, and how many did with the same state.
     silent: Option<CellId>,
     stuck: u32,
     /// The first attempt that may have had its effect.
-    may_have_run: Option<PossibleExecution>,
+    possible_execution: Option<PossibleExecution>,
     over_share: bool,
     /// Ended for the client; only an outcome is still awaited.
     ended: bool,
@@ -140,7 +140,7 @@
 /// One router's decisions.
 #[derive(Default)]
 pub struct Scheduler {
-    set: Settings,
+    settings: Settings,
     endpoints: BTreeMap<EndpointId, EndpointState>,
     requests: BTreeMap<RequestId, Request>,
     high: BTreeSet<(Micros, RequestId)>,
@@ -148,13 +148,13 @@
     curves: Vec<SpeedCurve>,
     quotas: Vec<DecayingAverage>,
     /// To read one token where nothing waits, and the mean wait before a read.
-    read_cost: f64,
-    read_wait: DecayingAverage,
-    first_took: DecayingAverage,
+    prefill_cost_per_token: f64,
+    prefill_wait: DecayingAverage,
+    first_token_latency: DecayingAverage,
     /// Means: a request's tokens, others' share of a decode endpoint's memory, the part of a prompt kept.
     footprint: f64,
-    others: f64,
-    kept_share: [f64; PREFERRED],
+    external_share: f64,
+    cache_hit_ratio: [f64; PREFERRED],
     salt: u64,
     /// Running prefill endpoints and others, by the list.
     serving: (usize, usize),
@@ -173,12 +173,12 @@
         Scheduler {
             curves: vec![SpeedCurve::default(); settings.kinds.len()],
             quotas: vec![DecayingAverage { value: f64::MAX, at: 0 }; settings.tenants.len()],
-            read_cost: READ_COST,
-            kept_share: std::array::from_fn(|rank| if rank == 0 { 1.0 } else { 0.5 }),
-            read_wait: DecayingAverage { value: 0.0, at: Micros::MIN / 2 },
-            first_took: DecayingAverage { value: FIRST_TOOK, at: Micros::MIN / 2 },
+            prefill_cost_per_token: INITIAL_PREFILL_COST,
+            cache_hit_ratio: std::array::from_fn(|rank| if rank == 0 { 1.0 } else { 0.5 }),
+            prefill_wait: DecayingAverage { value: 0.0, at: Micros::MIN / 2 },
+            first_token_latency: DecayingAverage { value: INITIAL_FIRST_TOKEN_LATENCY, at: Micros::MIN / 2 },
             salt: seed,
-            set: settings,
+            settings,
             ..Scheduler::default()
         }
     }
@@ -186,10 +186,10 @@
     /// Takes in what happened and says what to do, in order.
     pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         self.since.get_or_insert(now);
-        self.earn(now);
+        self.accrue_slow_start_credit(now);
         events.iter().for_each(|event| self.handle_event(now, event, out));
         self.follow(now, out);
-        self.send_ready(now, out);
+        self.send_prefilled(now, out);
         self.sort_tiers(now, out);
         self.admit(now, out);
         self.probe(now, out);
@@ -202,7 +202,7 @@
                 self.endpoints_changed(now, *whole, members)
             }
             Event::WatchFailed => self.following = false,
-            Event::RequestReceived(ask) => self.arrive(now, ask, out),
+            Event::RequestReceived(spec) => self.arrive(now, spec, out),
             Event::FirstToken { request, endpoint, elapsed: took, .. } => {
                 self.began(now, *request, *endpoint, *took)
             }
@@ -211,13 +211,13 @@
                 endpoint,
                 outcome,
                 is_final: last,
-                cached_tokens: kept,
+                cached_tokens,
                 elapsed: took,
                 load_report: load,
                 ..
             } => {
                 self.report(now, *endpoint, load.as_ref());
-                self.ended(now, *request, *endpoint, (*outcome, *last, *kept, *took), out);
+                self.ended(now, *request, *endpoint, (*outcome, *last, *cached_tokens, *took), out);
             }
             Event::ClientDisconnected(request) => self.left(*request, out),
             Event::HealthChecked { endpoint, load_report: load, .. } => {
@@ -230,7 +230,7 @@
 
     fn follow(&mut self, now: Micros, out: &mut Vec<Action>) {
         let since = self.followed_at.map_or(Micros::MAX, |at| now - at);
-        if self.set.watch_endpoint_list && !self.following && since >= FOLLOW_AGAIN {
+        if self.settings.watch_endpoint_list && !self.following && since >= FOLLOW_AGAIN {
             out.push(Action::WatchEndpoints);
             (self.following, self.followed_at) = (true, Some(now));
         }
@@ -238,8 +238,9 @@
 
     /// One timer at a time: while anything is held, or the list must be asked for again.
     fn set_wake(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let held = self.requests.values().any(|r| matches!(r.stage, Stage::High | Stage::Low | Stage::Ready));
-        let asking = self.set.watch_endpoint_list && !self.following;
+        let held =
+            self.requests.values().any(|r| matches!(r.stage, Stage::High | Stage::Low | Stage::Prefilled));
+        let asking = self.settings.watch_endpoint_list && !self.following;
         let after = if held { TICK } else { FOLLOW_AGAIN };
         if (held || asking) && self.wake_at.is_none_or(|at| at > now + after) {
             self.wake_at = Some(now + after);
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -7,7 +7,7 @@
 
 impl EndpointState {
     /// Share of its capacity that a starting endpoint has, taken to grow evenly.
-    pub(super) fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
+    pub(super) fn warmup_factor(&self, now: Micros, rules: &Rules) -> f64 {
         let Some(at) = self.started else { return 1.0 };
         let age = now.saturating_sub(at) as f64 / rules.slow_start_duration.max(1) as f64;
         (rules.initial_capacity + (1.0 - rules.initial_capacity) * age.max(0.0)).min(1.0)
@@ -46,7 +46,7 @@
 impl Scheduler {
     /// Counts what this router has earned since the last time, at the rate of now: what comes in later, as
     /// in a burst that all routers see at once, earns nothing for the time before.
-    pub(super) fn earn(&mut self, now: Micros) {
+    pub(super) fn accrue_slow_start_credit(&mut self, now: Micros) {
         let passed = (now - self.earned.at).max(0) as f64;
         let (prefill, decode) = (self.own_rate(now, true) * passed, self.own_rate(now, false) * passed);
         let Earned { prefill: before_prefill, decode: before_decode, .. } = self.earned;
@@ -57,10 +57,10 @@
     /// can
     /// do, which grows, by what comes in: what goes there shrinks with this guard.
     pub(super) fn slow_start_budget(&self, now: Micros, endpoint: &EndpointState) -> f64 {
-        let (rules, part) = (&self.set.rules, endpoint.slow_start);
-        let warmth = endpoint.warmth(now - (now - part.since) / 2, rules);
+        let (rules, part) = (&self.settings.rules, endpoint.slow_start);
+        let warmup_factor = endpoint.warmup_factor(now - (now - part.since) / 2, rules);
         let earned = self.earned.of(endpoint.role) - part.mark;
-        part.saved + earned * rules.overload_multiple * warmth * SLOW_START_SHARE
+        part.saved + earned * rules.overload_multiple * warmup_factor * SLOW_START_SHARE
     }
 
     /// What a cold endpoint bears has been used: the next send must be earned anew.
@@ -73,6 +73,6 @@
     /// a
     /// random part of a send saved, also one that has started itself and seen no request yet.
     pub(super) fn start_slowly(&mut self, now: Micros, to: EndpointId) {
-        self.use_slow_start(now, to, chance(to.0, now as u64 ^ self.salt));
+        self.use_slow_start(now, to, unit_hash(to.0, now as u64 ^ self.salt));
     }
 }
