--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -14,8 +14,7 @@
         /// Abort the attempt after this long without a first response.
         timeout: Micros,
         /// The attempt must begin within this time, or not at all: duplicates are dropped only for a while,
-        /// and what is
-        /// reserved for the request waits meanwhile.
+        /// and what is reserved for the request waits meanwhile.
         start_within: Option<Micros>,
     },
     /// Cancel an attempt.
--- a/src/scheduler/ids.rs
+++ b/src/scheduler/ids.rs
@@ -14,11 +14,11 @@
 ids! {
     /// A client's request; a client's retry has a new one.
     RequestId(u64);
-    /// A server of the fleet: a prefill, decode or mixed endpoint.
+    /// An endpoint of the fleet.
     EndpointId(u32);
     /// An index into the deployment's zones.
     ZoneId(usize);
-    /// A cell: endpoints with fast links among them. No two zones share one.
+    /// A cell: endpoints of one zone with fast links among them.
     CellId(i64);
     /// An index into [`Settings::kinds`](super::Settings::kinds).
     KindId(usize);
--- a/src/scheduler/outcome.rs
+++ b/src/scheduler/outcome.rs
@@ -3,8 +3,7 @@
 use super::ids::Micros;
 
 /// Time from which a lost connection is that of an attempt in progress, and no longer one that its endpoint
-/// had closed
-/// before it was used.
+/// had closed before it was used.
 const MIN_IN_PROGRESS: Micros = 100_000;
 
 /// How an attempt ended.
@@ -31,8 +30,7 @@
     /// Cancelled; it may have been executed.
     Cancelled,
     /// Never sent, through no fault of the endpoint: this replica had no connection for it in time, or the
-    /// endpoint
-    /// began to drain.
+    /// endpoint began to drain.
     NotSent,
     /// Never sent, as the request had ended.
     Abandoned,
--- a/src/scheduler/speed_curve.rs
+++ b/src/scheduler/speed_curve.rs
@@ -1,16 +1,22 @@
-//! The speed curve of a kind of endpoint.
+//! The speed curve of a kind of endpoint: time for each token by the number of streams.
 
-const FIT_MIN: f64 = 12.0; // ended streams of a kind before its curve is believed
-const FIT_KEEP: f64 = 0.997; // weight that the fit keeps at each new stream: about its last 300 count
-const FIT_STEPS: usize = 20; // rounds of the fit at each new stream, going on from the last one
+/// Completed streams of a kind before its curve is used.
+const MIN_SAMPLES: f64 = 12.0;
+/// Weight that earlier samples keep at each new one: about the last 300 count.
+const SAMPLE_RETENTION: f64 = 0.997;
+/// Rounds of coordinate descent at each sample, starting from the last fit.
+const FIT_ROUNDS: usize = 20;
+/// Least diagonal element that the fit divides by.
+const MIN_DIAGONAL: f64 = 1e-9;
 
-/// The Universal Scalability Law inverted, pace = a + b(L-1) + c L(L-1), fitted by decayed least squares.
+/// The Universal Scalability Law inverted, pace = a + b(L-1) + c L(L-1) at the load L, fitted by decayed
+/// least squares with no coefficient below zero.
 #[derive(Clone, Default)]
 pub(super) struct SpeedCurve {
-    xx: [[f64; 3]; 3],
-    xy: [f64; 3],
-    seen: f64,
-    fit: [f64; 3],
+    gram: [[f64; 3]; 3],
+    moments: [f64; 3],
+    samples: f64,
+    coefficients: [f64; 3],
 }
 
 fn basis(load: f64) -> [f64; 3] {
@@ -19,28 +25,36 @@
 }
 
 impl SpeedCurve {
-    pub(super) fn learn(&mut self, load: f64, tokens: f64, took: f64) {
-        let x = basis(load);
-        for (i, xi) in x.iter().enumerate() {
-            for (j, xj) in x.iter().enumerate() {
-                self.xx[i][j] = self.xx[i][j] * FIT_KEEP + tokens * xi * xj;
+    /// Adds a stream of `tokens` that took `duration` microseconds at this load.
+    pub(super) fn learn(&mut self, load: f64, tokens: f64, duration: f64) {
+        let basis = basis(load);
+        for (row, row_value) in basis.iter().enumerate() {
+            for (column, column_value) in basis.iter().enumerate() {
+                let old = self.gram[row][column];
+                self.gram[row][column] = old * SAMPLE_RETENTION + tokens * row_value * column_value;
             }
-            self.xy[i] = self.xy[i] * FIT_KEEP + took * xi;
+            self.moments[row] = self.moments[row] * SAMPLE_RETENTION + duration * row_value;
         }
-        self.seen += 1.0;
-        self.solve();
+        self.samples += 1.0;
+        self.fit();
     }
 
-    /// Least squares with each coefficient at or above zero, by going down along each in turn.
-    fn solve(&mut self) {
-        for i in (0..3).cycle().take(3 * FIT_STEPS) {
-            let rest: f64 = (0..3).filter(|&j| j != i).map(|j| self.xx[i][j] * self.fit[j]).sum();
-            self.fit[i] = ((self.xy[i] - rest) / self.xx[i][i].max(1e-9)).max(0.0);
+    /// Non-negative least squares by coordinate descent.
+    fn fit(&mut self) {
+        for row in (0..3).cycle().take(3 * FIT_ROUNDS) {
+            let others = (0..3).filter(|&column| column != row);
+            let explained: f64 =
+                others.map(|column| self.gram[row][column] * self.coefficients[column]).sum();
+            let residual = self.moments[row] - explained;
+            self.coefficients[row] = (residual / self.gram[row][row].max(MIN_DIAGONAL)).max(0.0);
         }
     }
 
-    /// Microseconds a token at this load; none till enough streams have ended.
+    /// Microseconds a token at this load; zero until enough streams have completed.
     pub(super) fn pace(&self, load: f64) -> f64 {
-        if self.seen < FIT_MIN { 0.0 } else { basis(load).iter().zip(self.fit).map(|(x, c)| x * c).sum() }
+        if self.samples < MIN_SAMPLES {
+            return 0.0;
+        }
+        basis(load).iter().zip(self.coefficients).map(|(value, coefficient)| value * coefficient).sum()
     }
 }
