--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -1,230 +1,268 @@
-//! Sends and their outcomes, final answers, and the rules on repeats.
-
-use super::*;
-
-const PATIENCE: f64 = 4.0; // time-out of an attempt as a multiple of what is expected...
-const TRY_SHARE: f64 = 0.6; // most of the time left that one attempt may use while others could follow
-/// Decode endpoints silent with the same state before its prefill endpoint is held to blame....
-const STUCK: u32 = 2;
-const STUCK_REST: Micros = 4_000_000; // ...and so long nothing is read there: a jammed link drains slowly
-const MALFORMED_MOST: u32 = 2; // answers in a row that cannot be read before the next counts as a failure
-const FULL_REST: Micros = 100_000; // for which an endpoint that said "full" is left alone, at least...
-const FULL_MULTIPLE: Micros = 20; // ...and of the time that it took to say so...
-const FULL_REST_MOST: Micros = 4_000_000; // ...up to this: room comes back sooner than a jam is forgotten
-const AVOID: Micros = 100_000; // for which an endpoint that could not be sent to from here is not tried again
-const REPEAT_MARGIN: Micros = 100_000; // of a repeat's window: a handshake and the way to the endpoint
-
-impl Request {
-    /// Attempts that count: endpoints may have seen them.
-    pub(super) fn attempts(&self) -> u32 {
-        self.sent - self.not_sent
-    }
+//! Attempts: how a request is sent, and what follows from each outcome.
 
-    /// Until when the next attempt may begin; none where any time will do. A connection may be long in
-    /// coming up, and what is held waits meanwhile.
-    fn begins_until(&self, settings: &Settings) -> Option<Micros> {
-        let held = self.stage == Stage::Decoding && self.prefill.is_some();
-        let time = (settings.rules.reservation_limit as f64 * placement::READY_BEGIN) as Micros;
-        let of_state = held.then(|| self.reserved_since.saturating_add(time));
-        self.repeats_until(settings).into_iter().chain(of_state).min()
-    }
+use super::Scheduler;
+use super::action::Action;
+use super::endpoint::{EndpointState, Pool};
+use super::estimates::{PREFILL_OVERHEAD_TOKENS, SILENCE_ALLOWANCE};
+use super::ids::{EndpointId, Micros, RequestId};
+use super::outcome::Outcome;
+use super::request::{ExecutionSite, LocallyUnreachable, PossibleExecution, Request, Stage};
+use super::retry::ATTEMPTS_FOR_PREFILL_AND_DECODE;
 
-    /// Until when an attempt may begin that could repeat a keyed effect; none where any time will do.
-    fn repeats_until(&self, settings: &Settings) -> Option<Micros> {
-        let effect = settings.classes[self.spec.class.0].idempotency;
-        let (Idempotency::Keyed { window, .. }, Some(first)) = (effect, self.possible_execution) else {
-            return None;
-        };
-        Some(first.since + window - REPEAT_MARGIN)
-    }
+/// Timeout of an attempt as a multiple of its expected time.
+const TIMEOUT_MULTIPLE: f64 = 4.0;
+/// Most of the time left that one attempt may use, so that another can follow.
+const MAX_ATTEMPT_SHARE: f64 = 0.6;
+/// Multiple of the expected time that this share must exceed: where all are slow, one attempt gets all the
+/// time.
+const MIN_TIMEOUT_MULTIPLE: f64 = 1.5;
+/// Decode endpoints that stay silent with the same KV cache before its prefill endpoint is taken to be the
+/// cause.
+const MAX_FAILED_TRANSFERS: u32 = 2;
+/// Microseconds for which nothing is then prefilled there: a congested link takes long to drain.
+const TRANSFER_STALL_EJECTION: Micros = 4_000_000;
+/// Microseconds for which other endpoints are tried first after one that this replica could not send to.
+const LOCALLY_UNREACHABLE_DURATION: Micros = 100_000;
+
+/// An attempt that has ended; see [`Event::AttemptFinished`](super::Event::AttemptFinished).
+pub(super) struct AttemptResult {
+    pub(super) request: RequestId,
+    pub(super) endpoint: EndpointId,
+    pub(super) outcome: Outcome,
+    pub(super) is_final: bool,
+    pub(super) cached_tokens: f64,
+    pub(super) elapsed: Micros,
 }
 
 impl Scheduler {
-    pub(super) fn send_decode(
+    /// Sends a request to decode: with its reserved KV cache, or to prefill there too.
+    pub(super) fn send_to_decode(
         &mut self, now: Micros, id: RequestId, decode: EndpointId, out: &mut Vec<Action>,
     ) {
-        let (endpoint, r) = (&self.endpoints[&decode], &self.requests[&id]);
-        let reads = if r.prefill.is_none() { self.prefill_time(now, endpoint, r) } else { 0.0 };
-        let expected = self.first_token_time(now, endpoint) + reads;
-        self.requests.entry(id).and_modify(|r| r.stage = Stage::Decoding);
+        let expected = self.expected_first_token_time(now, &self.requests[&id], &self.endpoints[&decode]);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.stage = Stage::Decoding;
+        }
         self.send(now, id, decode, expected, out);
     }
 
+    /// Microseconds until the first token at a decode endpoint, with the prefill where it has to do that too.
+    fn expected_first_token_time(&self, now: Micros, request: &Request, decode: &EndpointState) -> f64 {
+        let prefill_time = match request.prefill_endpoint {
+            Some(_) => 0.0,
+            None => self.prefill_time(now, decode, request),
+        };
+        self.first_token_time(now, decode) + prefill_time
+    }
+
+    /// Sends a request whose first response is expected after so many microseconds.
     pub(super) fn send(
         &mut self, now: Micros, id: RequestId, to: EndpointId, expected: f64, out: &mut Vec<Action>,
     ) {
-        let (Some(r), Some(endpoint)) = (self.requests.get_mut(&id), self.endpoints.get_mut(&to)) else {
-            return;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&to) else { return };
+        request.ordered_attempts += 1;
+        request.last_progress_at = now;
+        let time_left = (request.deadline - now).max(1) as f64;
+        let timeout = if request.spec.unary && endpoint.pool() == Pool::Decode {
+            // An answer in one piece gives no sign of life before its end, so its attempt may use all the
+            // time.
+            time_left as Micros
+        } else {
+            endpoint.pending_attempts.insert(id, now);
+            attempt_timeout(expected, time_left)
         };
-        let left = (r.deadline - now).max(1) as f64;
-        // A silent endpoint shows only so. The share leaves room for another try, unless all is slow.
-        let share = if left * TRY_SHARE > expected * 1.5 { left * TRY_SHARE } else { left };
-        let mut timeout = (expected * PATIENCE + PATIENCE_EXTRA).min(share) as Micros;
-        (r.sent, r.begun) = (r.sent + 1, now);
-        if r.spec.unary && endpoint.role != Role::Prefill {
-            // Its silence tells nothing of the endpoint until all is written, so it may take all the time
-            // left.
-            timeout = left as Micros;
+        let start_within = request.start_limit(&self.settings).map(|until| until - now);
+        self.reset_slow_start_budget(now, to, 0.0);
+        out.push(Action::Send { request: id, endpoint: to, timeout: timeout.max(1), start_within });
+    }
+
+    /// The first token of an answer is out.
+    pub(super) fn first_token(&mut self, now: Micros, id: RequestId, at: EndpointId, elapsed: Micros) {
+        self.record_success(now, at);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&at) else { return };
+        endpoint.pending_attempts.remove(&id);
+        request.stage = Stage::Streaming;
+        request.last_progress_at = now;
+        if request.prefill_endpoint.is_some() {
+            self.learn_first_token_latency(now, at, elapsed);
         } else {
-            endpoint.pending.insert(id, now);
+            endpoint.remember_prefix(&request.spec);
+            let tokens = request.uncached_tokens + PREFILL_OVERHEAD_TOKENS;
+            self.learn_prefill_time(now, at, tokens, elapsed as f64);
         }
-        let start_within = r.begins_until(&self.settings).map(|until| until - now);
-        self.use_slow_start(now, to, 0.0);
-        out.push(Action::Send { request: id, endpoint: to, timeout: timeout.max(1), start_within });
     }
 
-    pub(super) fn began(&mut self, now: Micros, id: RequestId, at: EndpointId, took: Micros) {
-        self.worked(now, at);
-        let (Some(r), Some(endpoint)) = (self.requests.get_mut(&id), self.endpoints.get_mut(&at)) else {
+    /// An attempt ended: learns from it, and moves its request on.
+    pub(super) fn attempt_finished(&mut self, now: Micros, result: &AttemptResult, out: &mut Vec<Action>) {
+        let sent_at = self.take_pending_attempt(now, result);
+        if result.outcome == Outcome::TimedOut {
+            self.learn_from_timeout(now, result);
+        }
+        self.record_outcome(now, result, sent_at, out);
+        let id = result.request;
+        let Some(request) = self.requests.get_mut(&id) else {
+            out.push(Action::ReleaseReservation(id));
             return;
         };
-        endpoint.pending.remove(&id);
-        (r.stage, r.begun) = (Stage::Streaming, now);
-        if r.prefill.is_some() {
-            return self.first_token(now, at, took);
+        if result.is_final || request.disconnected {
+            out.push(Action::ReleaseReservation(id));
+            self.remove_request(id);
+            return;
+        }
+        if result.outcome == Outcome::NotSent {
+            request.unsent_attempts += 1;
+            let until = now + LOCALLY_UNREACHABLE_DURATION;
+            request.locally_unreachable = Some(LocallyUnreachable { endpoint: result.endpoint, until });
+        }
+        self.move_on(now, result, sent_at, out);
+        let deadline_passed = self.requests.get(&id).is_some_and(|open| now >= open.deadline);
+        if deadline_passed || !self.may_run_anywhere(now, id) {
+            self.finish_unserved(id, out);
         }
-        endpoint.cached_prefixes.extend(r.spec.prefix.map(|key| (key, r.spec.prefix_tokens)));
-        let tokens = r.unread + PREFILL_OVERHEAD_TOKENS;
-        self.learn_prefill_time(now, at, tokens, took as f64);
     }
 
-    pub(super) fn ended(
-        &mut self, now: Micros, id: RequestId, at: EndpointId,
-        (outcome, last, cached_tokens, took): (Outcome, bool, f64, Micros), out: &mut Vec<Action>,
-    ) {
-        let known = self.requests.get(&id).map(|r| (r.stage, r.begun, r.unread));
-        let (stage, begun, unread) = known.unwrap_or((Stage::Streaming, now, 0.0));
-        let sent_at = self.endpoints.get_mut(&at).and_then(|h| h.pending.remove(&id)).unwrap_or(begun);
-        // What timed out took longer still: a jam must not be judged by those alone that came through it.
-        match (outcome, stage) {
-            (Outcome::TimedOut, Stage::Prefilling) => self.read_took(now, id, at, unread, took),
-            (Outcome::TimedOut, Stage::Decoding) => self.first_token(now, at, took),
-            _ => {}
-        }
-        match outcome {
-            Outcome::Completed => self.served(now, id, at),
-            Outcome::Prefilled => self.was_read(now, id, at, cached_tokens, took),
-            Outcome::Rejected => {
-                // Perhaps for this class or tenant alone. The longer it took to say so, the longer the rest.
-                let rest = took.saturating_mul(FULL_MULTIPLE).clamp(FULL_REST, FULL_REST_MOST);
-                let until = now.saturating_add(rest);
-                let key = self.requests.get(&id).map(|r| ((r.spec.class, r.spec.tenant), until));
-                self.endpoints.entry(at).and_modify(|h| h.backpressure_until.extend(key));
+    /// Ends the wait for a first response; when the attempt was sent or, after that response, when that came.
+    fn take_pending_attempt(&mut self, now: Micros, result: &AttemptResult) -> Micros {
+        let endpoint = self.endpoints.get_mut(&result.endpoint);
+        let sent_at = endpoint.and_then(|endpoint| endpoint.pending_attempts.remove(&result.request));
+        let last_progress_at = self.requests.get(&result.request).map(|request| request.last_progress_at);
+        sent_at.or(last_progress_at).unwrap_or(now)
+    }
+
+    /// Counts a timeout as a latency: estimates by the attempts alone that came through congestion are too
+    /// low.
+    fn learn_from_timeout(&mut self, now: Micros, result: &AttemptResult) {
+        let Some(request) = self.requests.get(&result.request) else { return };
+        match request.stage {
+            Stage::Prefilling => {
+                let uncached_tokens = request.uncached_tokens;
+                self.learn_own_prefill(now, result.request, result.endpoint, uncached_tokens, result.elapsed);
             }
-            Outcome::StateMissing | Outcome::Cancelled | Outcome::Abandoned | Outcome::NotSent => {}
-            // A few come from any endpoint, however well it is; only an endpoint that sends nothing else
-            // fails.
-            Outcome::Malformed if self.endpoints.get(&at).is_some_and(|h| h.malformed < MALFORMED_MOST) => {
-                self.endpoints.entry(at).and_modify(|h| h.malformed += 1);
+            Stage::Decoding => {
+                self.learn_first_token_latency(now, result.endpoint, result.elapsed);
             }
-            _ => self.failed(now, at, sent_at, out),
+            Stage::Queued(_) | Stage::Prefilled | Stage::Streaming => {}
         }
-        let Some(r) = self.requests.get_mut(&id) else { return out.push(Action::ReleaseReservation(id)) };
-        if last || r.ended {
-            out.push(Action::ReleaseReservation(id));
-            return self.forget(id);
-        }
-        if outcome == Outcome::NotSent {
-            r.not_sent += 1;
-            r.avoided = Some((at, now + AVOID));
-        }
-        match (r.stage, outcome) {
-            (Stage::Prefilling, Outcome::Prefilled) => (r.stage, r.reserved_since) = (Stage::Prefilled, now),
-            (Stage::Prefilling, _) => self.hold(id),
-            (_, Outcome::StateMissing) => {
-                // A endpoint that stayed silent may have fetched it.
-                out.push(Action::ReleaseReservation(id));
-                self.hold(id);
+    }
+
+    /// Records what the outcome says of the endpoint.
+    fn record_outcome(
+        &mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>,
+    ) {
+        match result.outcome {
+            Outcome::Completed => {
+                self.record_success(now, result.endpoint);
+                self.learn_speed(now, result.request, result.endpoint);
             }
-            (_, Outcome::Abandoned) => self.finish_unserved(id, out),
-            _ => {
-                let ran = !outcome.excludes_execution();
-                if outcome == Outcome::TimedOut {
-                    r.silent = self.endpoints.get(&at).map(|h| h.cell);
-                    r.stuck += 1;
-                    self.unplace(id);
-                }
-                let Some(r) = self.requests.get_mut(&id) else { return };
-                let stuck = r.stuck >= STUCK && r.attempts() + 2 <= self.settings.capabilities.max_attempts;
-                if let Some(prefill) = r.prefill.filter(|_| stuck).and_then(|id| self.endpoints.get_mut(&id))
-                {
-                    prefill.transfer_stalled_until = now + STUCK_REST;
-                }
-                let place = self.endpoints.get(&at).map(|h| (h.zone, h.cell));
-                r.possible_execution =
-                    r.possible_execution.or(ran.then_some(PossibleExecution { place, since: sent_at }));
-                if r.prefill.is_none() || outcome == Outcome::Malformed || stuck {
-                    // An answer had begun, so the state has moved. Or nobody can fetch it where it is.
-                    out.push(Action::ReleaseReservation(id));
-                    self.hold(id);
-                } else {
-                    // Without a sign that the call arrived no attempt was out: the state waited all along.
-                    let since = if outcome.reached_endpoint(took) { now } else { r.reserved_since };
-                    (r.stage, r.reserved_since) = (Stage::Prefilled, since);
-                }
+            Outcome::Prefilled => self.record_prefill(now, result),
+            Outcome::Rejected => self.record_rejection(now, result),
+            Outcome::Malformed => self.record_malformed_response(now, result.endpoint, sent_at, out),
+            Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionLost => {
+                self.record_failure(now, result.endpoint, sent_at, out);
             }
+            Outcome::StateMissing | Outcome::Cancelled | Outcome::Abandoned | Outcome::NotSent => {}
         }
-        if !self.may_run_anywhere(now, id) || now >= self.requests.get(&id).map_or(now, |r| r.deadline) {
-            self.finish_unserved(id, out);
+    }
+
+    fn record_prefill(&mut self, now: Micros, result: &AttemptResult) {
+        self.record_success(now, result.endpoint);
+        self.learn_cache_hit_ratio(result.request, result.endpoint, result.cached_tokens);
+        let prompt_tokens = self.requests.get(&result.request).map(|request| request.spec.prompt_tokens);
+        let Some(prompt_tokens) = prompt_tokens else { return };
+        let uncached_tokens = (prompt_tokens - result.cached_tokens).max(0.0);
+        self.learn_own_prefill(now, result.request, result.endpoint, uncached_tokens, result.elapsed);
+        let Some(request) = self.requests.get(&result.request) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&result.endpoint) else { return };
+        endpoint.remember_prefill(&request.spec, result.cached_tokens);
+    }
+
+    /// Takes the request to its next state.
+    fn move_on(&mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>) {
+        let id = result.request;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        match (request.stage, result.outcome) {
+            (Stage::Prefilling, Outcome::Prefilled) => {
+                request.stage = Stage::Prefilled;
+                request.reserved_since = now;
+            }
+            (Stage::Prefilling, _) => self.enqueue(id),
+            // A decode endpoint that stayed silent may have fetched the KV cache.
+            (_, Outcome::StateMissing) => self.release_and_enqueue(id, out),
+            (_, Outcome::Abandoned) => self.finish_unserved(id, out),
+            _ => self.decode_attempt_failed(now, result, sent_at, out),
         }
     }
 
-    pub(super) fn left(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        if matches!(r.stage, Stage::High | Stage::Low | Stage::Prefilled) {
-            out.push(Action::ReleaseReservation(id));
-            return self.forget(id);
+    /// A decode attempt failed: its KV cache waits for the next attempt, if it is still of use.
+    fn decode_attempt_failed(
+        &mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>,
+    ) {
+        let id = result.request;
+        if result.outcome == Outcome::TimedOut {
+            self.record_silence(id, result.endpoint);
         }
-        r.ended = true;
-        if self.settings.capabilities.cancellation && r.stage != Stage::Streaming {
-            out.push(Action::Cancel { request: id, attempt: AttemptId(r.sent.max(1) - 1) });
+        let transfer_stalled = self.eject_stalled_prefill_endpoint(now, id);
+        self.record_possible_execution(result, sent_at);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        // A malformed answer had begun, so the KV cache has moved.
+        let unusable = transfer_stalled || result.outcome == Outcome::Malformed;
+        if unusable || request.prefill_endpoint.is_none() {
+            self.release_and_enqueue(id, out);
+            return;
         }
+        // An attempt that did not reach its endpoint was not in flight: the KV cache waited all along.
+        if result.outcome.reached_endpoint(result.elapsed) {
+            request.reserved_since = now;
+        }
+        request.stage = Stage::Prefilled;
     }
 
-    fn forget(&mut self, id: RequestId) {
-        self.unplace(id);
-        let Some(r) = self.requests.remove(&id) else { return };
-        self.high.remove(&(r.objective_at, id));
-        self.low.remove(&(r.objective_at, id));
+    fn release_and_enqueue(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        out.push(Action::ReleaseReservation(id));
+        self.enqueue(id);
     }
 
-    /// Rule 1: the one final answer, at once, with all that is held let go of.
-    pub(super) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else { return };
-        out.extend((r.sent > 0).then_some(Action::ReleaseReservation(id)));
-        let repeats = matches!(
-            self.settings.classes[r.spec.class.0].idempotency,
-            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, window: _ }
-        );
-        let refusal = Action::Reject { request: id, retry_after: self.settings.capabilities.max_retry_after };
-        out.push(if repeats || r.possible_execution.is_none() { refusal } else { Action::Fail(id) });
-        self.forget(id);
+    /// A decode endpoint did not respond: the next attempt goes elsewhere.
+    fn record_silence(&mut self, id: RequestId, decode: EndpointId) {
+        let silent_cell = self.endpoints.get(&decode).map(|endpoint| endpoint.cell);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.silent_cell = silent_cell;
+            request.failed_transfers += 1;
+        }
+        self.unassign_decode_endpoint(id);
     }
 
-    /// Rule 2: whether an attempt there, also a read, could not repeat an effect.
-    pub(super) fn may_run_at(&self, now: Micros, r: &Request, at: EndpointId) -> bool {
-        let Some(first) = r.possible_execution else { return true };
-        let group = match self.settings.classes[r.spec.class.0].idempotency {
-            Idempotency::Idempotent => return true,
-            Idempotency::Keyed { scope: group, .. }
-                if r.repeats_until(&self.settings).is_some_and(|until| now < until) =>
-            {
-                group
-            }
-            _ => return false,
-        };
-        let (Some((zone, cell)), Some(endpoint)) = (first.place, self.endpoints.get(&at)) else {
-            return group == DeduplicationScope::All;
-        };
-        group == DeduplicationScope::All
-            || cell == endpoint.cell
-            || (group == DeduplicationScope::Zone && zone == endpoint.zone)
+    /// Ejects a prefill endpoint that several decode endpoints could not fetch a KV cache from, if the
+    /// request has the attempts left to be prefilled elsewhere; whether it did.
+    fn eject_stalled_prefill_endpoint(&mut self, now: Micros, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(&id) else { return false };
+        let Some(prefill_endpoint) = request.prefill_endpoint else { return false };
+        let attempts_needed = request.attempts() + ATTEMPTS_FOR_PREFILL_AND_DECODE;
+        let stalled = request.failed_transfers >= MAX_FAILED_TRANSFERS
+            && attempts_needed <= self.settings.capabilities.max_attempts;
+        if stalled && let Some(prefill) = self.endpoints.get_mut(&prefill_endpoint) {
+            prefill.transfer_stalled_until = now + TRANSFER_STALL_EJECTION;
+        }
+        stalled
     }
 
-    pub(super) fn may_run_anywhere(&self, now: Micros, id: RequestId) -> bool {
-        let Some(r) = self.requests.get(&id) else { return true };
-        let needed = if r.prefill.is_some() { 1 } else { 2 };
-        r.attempts() + needed <= self.settings.capabilities.max_attempts
-            && (r.possible_execution.is_none() || self.serving(false).any(|h| self.may_run_at(now, r, h.id)))
+    /// Remembers the first attempt that may have executed the request.
+    fn record_possible_execution(&mut self, result: &AttemptResult, sent_at: Micros) {
+        let endpoint = self.endpoints.get(&result.endpoint);
+        let site = endpoint.map(|endpoint| ExecutionSite { zone: endpoint.zone, cell: endpoint.cell });
+        let Some(request) = self.requests.get_mut(&result.request) else { return };
+        if request.possible_execution.is_none() && !result.outcome.excludes_execution() {
+            request.possible_execution = Some(PossibleExecution { site, sent_at });
+        }
     }
 }
+
+/// Microseconds after which an attempt is given up, so that a silent endpoint leaves time for another
+/// attempt.
+fn attempt_timeout(expected: f64, time_left: f64) -> Micros {
+    let share = time_left * MAX_ATTEMPT_SHARE;
+    let max_timeout = if share > expected * MIN_TIMEOUT_MULTIPLE { share } else { time_left };
+    (expected * TIMEOUT_MULTIPLE + SILENCE_ALLOWANCE).min(max_timeout) as Micros
+}
--- a/src/scheduler/decaying_average.rs
+++ b/src/scheduler/decaying_average.rs
@@ -1,38 +1,60 @@
 //! Averages that decay with age.
 
-use super::FLEET_GAIN;
 use super::ids::Micros;
 
-/// In which what is known of one endpoint fades by half towards what is known of all.
+/// Microseconds in which what is known of one endpoint decays by half towards what is known of the fleet:
+/// long against one attempt, short against a change of load.
 pub(super) const HALF_LIFE: f64 = 6e6;
-const FLEET_HALF_LIFE: f64 = 8e6; // and in which a mean over all endpoints turns half towards a new sample
+/// Microseconds without a sample after which the next one counts for half of a fleet average.
+const FLEET_HALF_LIFE: f64 = 8e6;
+/// Least weight of a new sample in a fleet average, which has samples from every endpoint.
+pub(super) const FLEET_GAIN: f64 = 0.05;
 
-/// A mean that fades towards another with age.
+/// An average that decays towards another value with age.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DecayingAverage {
-    pub(super) value: f64,
-    pub(super) at: Micros,
+    value: f64,
+    updated_at: Micros,
 }
 
 impl DecayingAverage {
-    pub(super) fn get(self, now: Micros, towards: f64) -> f64 {
-        towards + (self.value - towards) * 0.5f64.powf((now - self.at) as f64 / HALF_LIFE)
+    /// An average of one sample.
+    pub(super) fn new(now: Micros, value: f64) -> Self {
+        DecayingAverage { value, updated_at: now }
     }
 
-    pub(super) fn learn(&mut self, now: Micros, towards: f64, sample: f64, gain: f64) {
-        let old = self.get(now, towards);
-        *self = DecayingAverage { value: old + gain * (sample - old), at: now };
+    /// A fleet average that the first sample replaces.
+    pub(super) fn initial(value: f64) -> Self {
+        DecayingAverage { value, updated_at: Micros::MIN / 2 }
     }
 
-    /// A mean over all endpoints follows as quickly where a router seldom hears of any as where it often
-    /// does.
-    pub(super) fn follow(&mut self, now: Micros, sample: f64) {
-        let gain = (1.0 - 0.5f64.powf((now - self.at) as f64 / FLEET_HALF_LIFE)).max(FLEET_GAIN);
-        *self = DecayingAverage { value: self.value + gain * (sample - self.value), at: now };
+    /// The value at its last update.
+    pub(super) fn last(self) -> f64 {
+        self.value
     }
 
-    /// Counts an event: the value over `HALF_LIFE` is their rate.
+    /// The value now, decayed towards `baseline`.
+    pub(super) fn get(self, now: Micros, baseline: f64) -> f64 {
+        baseline + (self.value - baseline) * 0.5f64.powf((now - self.updated_at) as f64 / HALF_LIFE)
+    }
+
+    /// Adds a sample with the weight `gain` to an endpoint's average.
+    pub(super) fn learn(&mut self, now: Micros, baseline: f64, sample: f64, gain: f64) {
+        let old = self.get(now, baseline);
+        *self = DecayingAverage { value: old + gain * (sample - old), updated_at: now };
+    }
+
+    /// Adds a sample to a fleet average. Its weight grows with the time since the last one, so that a replica
+    /// with few requests follows a change as quickly as one with many.
+    pub(super) fn learn_fleet(&mut self, now: Micros, sample: f64) {
+        let age = (now - self.updated_at) as f64;
+        let gain = (1.0 - 0.5f64.powf(age / FLEET_HALF_LIFE)).max(FLEET_GAIN);
+        *self = DecayingAverage { value: self.value + gain * (sample - self.value), updated_at: now };
+    }
+
+    /// Counts an occurrence: the value divided by [`HALF_LIFE`] is their rate.
     pub(super) fn count(&mut self, now: Micros) {
-        *self = DecayingAverage { value: self.get(now, 0.0) + std::f64::consts::LN_2, at: now };
+        let value = self.get(now, 0.0) + std::f64::consts::LN_2;
+        *self = DecayingAverage { value, updated_at: now };
     }
 }
--- /dev/null
+++ b/src/scheduler/decode_selection.rs
@@ -0,0 +1,172 @@
+//! Which decode endpoint a request goes to.
+
+use super::Scheduler;
+use super::action::Action;
+use super::decode_capacity::FirstTokenTest;
+use super::endpoint::{EndpointState, Pool};
+use super::hashing::rendezvous_score;
+use super::ids::{EndpointId, Micros, RequestId};
+use super::request::{Request, Stage};
+use super::retry::FINAL_ANSWER_MARGIN;
+
+/// Power of a decode endpoint's room in its weight: mostly the one with the most room, but not for every
+/// replica.
+const ROOM_EXPONENT: f64 = 4.0;
+/// Weight of a decode endpoint in another zone, against 1 in the same: transfers across zones cost more.
+const OTHER_ZONE_WEIGHT: f64 = 0.25;
+/// Share of the reservation limit after which a KV cache goes to a decode endpoint that fails the test.
+const UNTESTED_DECODE_SHARE: f64 = 0.4;
+/// Share of the reservation limit after which a KV cache is released: what is sent later could not begin in
+/// time.
+const RELEASE_SHARE: f64 = 0.8;
+
+/// What a decode endpoint is chosen for.
+#[derive(Clone, Copy)]
+pub(super) struct DecodeChoice<'a> {
+    pub(super) now: Micros,
+    pub(super) request: &'a Request,
+    /// Where the KV cache is or will be; none if the decode endpoint prefills by itself.
+    pub(super) prefill: Option<&'a EndpointState>,
+    /// None if any endpoint that takes the request will do.
+    pub(super) test: Option<FirstTokenTest>,
+}
+
+/// How near to its KV cache a decode endpoint must be.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Reach {
+    SameCell,
+    AnyCell,
+}
+
+impl Scheduler {
+    /// A decode endpoint that is eligible and passes the test, drawn at random with more weight for more
+    /// room, so that replicas with the same knowledge do not all choose the same one.
+    pub(super) fn choose_decode(
+        &self, choice: &DecodeChoice<'_>, eligible: impl Fn(&EndpointState) -> bool,
+    ) -> Option<EndpointId> {
+        let candidates = self.endpoints.values().filter(|endpoint| {
+            endpoint.pool() == Pool::Decode
+                && self.accepts(choice.now, endpoint, choice.request)
+                && eligible(endpoint)
+        });
+        let scored = candidates
+            .filter_map(|endpoint| self.decode_score(choice, endpoint).map(|score| (score, endpoint.id)));
+        scored.max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
+    }
+
+    /// The endpoint's score in the draw; none if it fails the test. One without room is behind all that have
+    /// some.
+    fn decode_score(&self, choice: &DecodeChoice<'_>, endpoint: &EndpointState) -> Option<f64> {
+        let request = choice.request;
+        let room = self.room(choice.now, request, endpoint, choice.test)?;
+        if room > 0.0 {
+            let locality = choice.prefill.map_or(1.0, |prefill| locality_weight(prefill, endpoint));
+            let weight = room.powf(ROOM_EXPONENT) * locality;
+            Some(rendezvous_score(endpoint.id.0, self.salt ^ request.id().0, weight))
+        } else {
+            Some(room)
+        }
+    }
+
+    /// Sends the prefilled requests on, and releases the KV caches that no decode endpoint takes in time.
+    pub(super) fn send_prefilled(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let is_prefilled = |request: &&Request| request.stage == Stage::Prefilled;
+        let prefilled: Vec<_> = self.requests.values().filter(is_prefilled).map(Request::id).collect();
+        let first_token_time =
+            self.shortest_time(Pool::Decode, |endpoint| self.first_token_time(now, endpoint));
+        let earliest_first_token = now.saturating_add(first_token_time as Micros);
+        for id in prefilled {
+            let request = &self.requests[&id];
+            if self.must_release(now, request) {
+                out.push(Action::ReleaseReservation(id));
+                self.enqueue(id);
+            } else if let Some(decode) = self.decode_for_reservation(now, request, earliest_first_token) {
+                self.assign_decode_endpoint(id, decode);
+                self.send_to_decode(now, id, decode, out);
+            }
+        }
+    }
+
+    /// Whether a KV cache has to be released as no further attempt could use it in time.
+    fn must_release(&self, now: Micros, request: &Request) -> bool {
+        request.attempts() >= self.settings.capabilities.max_attempts
+            || now >= request.deadline - FINAL_ANSWER_MARGIN
+            || self.reserved_share(now, request) >= RELEASE_SHARE
+    }
+
+    /// Time that a KV cache has been reserved, as a share of the reservation limit.
+    fn reserved_share(&self, now: Micros, request: &Request) -> f64 {
+        let reserved_for = (now - request.reserved_since) as f64;
+        reserved_for / self.settings.rules.reservation_limit.max(1) as f64
+    }
+
+    /// The decode endpoint for a reserved KV cache: the one that it was admitted with if that still passes
+    /// the test, else one in another cell than a silent one, else one nearby, and after a while one that
+    /// fails the test.
+    fn decode_for_reservation(
+        &self, now: Micros, request: &Request, earliest_first_token: Micros,
+    ) -> Option<EndpointId> {
+        let mut test = FirstTokenTest::new(request, 0.0);
+        if earliest_first_token > request.objective_at {
+            // Waiting gains nothing once the objective is missed.
+            test.limit = request.deadline;
+        }
+        let prefill = request.prefill_endpoint.and_then(|id| self.endpoints.get(&id));
+        let tested = DecodeChoice { now, request, prefill, test: Some(test) };
+        let untested = DecodeChoice { test: None, ..tested };
+        self.choose_decode(&tested, |endpoint| endpoint.streams.contains(&request.id()))
+            .or_else(|| self.choose_away_from_silent_cell(&tested))
+            .or_else(|| self.choose_nearest(&tested))
+            .or_else(|| {
+                let may_skip_test = self.reserved_share(now, request) >= UNTESTED_DECODE_SHARE;
+                if may_skip_test { self.choose_nearest(&untested) } else { None }
+            })
+    }
+
+    /// An endpoint in another cell than the one that last stayed silent: congestion and packet loss mostly
+    /// concern its neighbours too.
+    fn choose_away_from_silent_cell(&self, choice: &DecodeChoice<'_>) -> Option<EndpointId> {
+        let silent_cell = choice.request.silent_cell?;
+        self.choose_decode(choice, |endpoint| endpoint.cell != silent_cell)
+    }
+
+    /// An endpoint in the cell of the KV cache, else anywhere.
+    fn choose_nearest(&self, choice: &DecodeChoice<'_>) -> Option<EndpointId> {
+        let choose = |reach: Reach| {
+            self.choose_decode(choice, |endpoint| {
+                reach == Reach::AnyCell || choice.prefill.is_none_or(|prefill| prefill.cell == endpoint.cell)
+            })
+        };
+        choose(Reach::SameCell).or_else(|| choose(Reach::AnyCell))
+    }
+
+    /// Lets a decode endpoint count the request as one of its streams.
+    pub(super) fn assign_decode_endpoint(&mut self, id: RequestId, decode: EndpointId) {
+        self.unassign_decode_endpoint(id);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&decode) else { return };
+        request.decode_endpoint = Some(decode);
+        endpoint.streams.insert(id);
+    }
+
+    /// Undoes [`assign_decode_endpoint`](Self::assign_decode_endpoint).
+    pub(super) fn unassign_decode_endpoint(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(decode) = request.decode_endpoint.take() else { return };
+        if let Some(endpoint) = self.endpoints.get_mut(&decode) {
+            endpoint.streams.remove(&id);
+        }
+    }
+}
+
+/// Weight of a decode endpoint by its distance: a KV cache that leaves its cell goes where decode endpoints
+/// have capacity to spare, mostly in the same zone.
+fn locality_weight(prefill: &EndpointState, decode: &EndpointState) -> f64 {
+    if prefill.cell == decode.cell {
+        1.0
+    } else if prefill.zone == decode.zone {
+        decode.remote_capacity_weight
+    } else {
+        decode.remote_capacity_weight * OTHER_ZONE_WEIGHT
+    }
+}
--- /dev/null
+++ b/src/scheduler/estimates.rs
@@ -0,0 +1,166 @@
+//! Estimates of latency, and what they are learned from.
+
+use super::Scheduler;
+use super::decaying_average::{DecayingAverage, FLEET_GAIN};
+use super::endpoint::EndpointState;
+use super::ids::{EndpointId, Micros, RequestId};
+use super::load_report::LOAD_REPORT_LIFETIME;
+use super::prefill_selection::AFFINITY_ENDPOINTS;
+use super::request::{Request, Stage};
+
+/// Tokens added to each prefill for the part of its time that does not depend on its length.
+pub(super) const PREFILL_OVERHEAD_TOKENS: f64 = 300.0;
+/// Microseconds added where an endpoint may not respond at all: to each timeout, so that short expectations
+/// leave room for a handshake and a retransmission, and to the queue of an endpoint that has left a query
+/// unanswered.
+pub(super) const SILENCE_ALLOWANCE: f64 = 300_000.0;
+/// Microseconds to prefill one token, until prefills have been seen.
+const INITIAL_PREFILL_COST: f64 = 80.0;
+/// Microseconds from a send to the first token, until first tokens have been seen.
+const INITIAL_FIRST_TOKEN_LATENCY: f64 = 100_000.0;
+/// Part of a prompt's prefix that is cached at its first affinity endpoint, until prefills have been seen.
+const INITIAL_FIRST_CACHE_HIT_RATIO: f64 = 1.0;
+/// The same at its other affinity endpoints.
+const INITIAL_OTHER_CACHE_HIT_RATIO: f64 = 0.5;
+/// Weight of a new sample in an endpoint's average: a few requests are enough.
+const ENDPOINT_GAIN: f64 = 0.25;
+/// Most relative rise of the prefill cost by one sample: a slower one has mostly waited, too.
+const MAX_PREFILL_COST_RISE: f64 = 0.1;
+
+/// What is known of the fleet as a whole.
+pub(super) struct FleetEstimates {
+    /// Microseconds to prefill one token at an endpoint with nothing queued.
+    pub(super) prefill_cost_per_token: f64,
+    /// Mean microseconds that a prefill waits.
+    pub(super) prefill_wait: DecayingAverage,
+    /// Mean microseconds from a send to the first token.
+    pub(super) first_token_latency: DecayingAverage,
+    /// Mean tokens of a request, prompt and answer.
+    pub(super) request_footprint: f64,
+    /// Mean share of a decode endpoint's memory that other replicas' requests use.
+    pub(super) external_share: f64,
+    /// Mean part of a prompt's prefix that was cached, by the endpoint's rank in the affinity order.
+    pub(super) cache_hit_ratio: [f64; AFFINITY_ENDPOINTS],
+}
+
+impl Default for FleetEstimates {
+    fn default() -> Self {
+        let mut cache_hit_ratio = [INITIAL_OTHER_CACHE_HIT_RATIO; AFFINITY_ENDPOINTS];
+        cache_hit_ratio[0] = INITIAL_FIRST_CACHE_HIT_RATIO;
+        FleetEstimates {
+            prefill_cost_per_token: INITIAL_PREFILL_COST,
+            prefill_wait: DecayingAverage::initial(0.0),
+            first_token_latency: DecayingAverage::initial(INITIAL_FIRST_TOKEN_LATENCY),
+            request_footprint: 0.0,
+            external_share: 0.0,
+            cache_hit_ratio,
+        }
+    }
+}
+
+impl Scheduler {
+    /// Microseconds until the first token of an attempt at a decode endpoint; one that already waits longer
+    /// counts.
+    pub(super) fn first_token_time(&self, now: Micros, endpoint: &EndpointState) -> f64 {
+        let fleet = self.estimates.first_token_latency.last();
+        endpoint.first_token_latency.get(now, fleet).max(endpoint.oldest_pending(now))
+    }
+
+    /// Microseconds until an endpoint would have prefilled the prompt, after this replica's prefills before
+    /// it.
+    pub(super) fn prefill_time(&self, now: Micros, endpoint: &EndpointState, request: &Request) -> f64 {
+        let cost = self.estimates.prefill_cost_per_token / endpoint.warmup_factor(now, &self.settings.rules);
+        let wait = self.prefill_queue_time(now, endpoint, cost);
+        let own_tokens = self.own_prefill_tokens(endpoint);
+        let tokens = own_tokens + self.uncached_tokens(endpoint, request) + PREFILL_OVERHEAD_TOKENS;
+        (wait + tokens * cost).max(endpoint.oldest_pending(now))
+    }
+
+    /// Microseconds that other replicas' prefills take there first: by a fresh report, else by the prefills
+    /// before.
+    fn prefill_queue_time(&self, now: Micros, endpoint: &EndpointState, cost: f64) -> f64 {
+        let report_age = now - endpoint.queue_reported_at;
+        let wait = if report_age < LOAD_REPORT_LIFETIME {
+            (endpoint.queued_prefill_tokens * cost - report_age as f64).max(0.0)
+        } else {
+            endpoint.prefill_wait.get(now, self.estimates.prefill_wait.last())
+        };
+        // Queried after its last report and still silent: it may not respond at all.
+        let query_age = now - endpoint.health_check_at;
+        let query_unanswered =
+            report_age > query_age && now < endpoint.health_check_at + LOAD_REPORT_LIFETIME;
+        wait + if query_unanswered { SILENCE_ALLOWANCE } else { 0.0 }
+    }
+
+    /// Tokens of this replica's prefills in flight at an endpoint.
+    pub(super) fn own_prefill_tokens(&self, endpoint: &EndpointState) -> f64 {
+        let pending = endpoint.pending_attempts.keys().filter_map(|id| self.requests.get(id));
+        let prefills = pending.filter(|request| request.stage == Stage::Prefilling);
+        prefills.map(|request| request.uncached_tokens + PREFILL_OVERHEAD_TOKENS).sum()
+    }
+
+    /// Prompt tokens that an endpoint has to prefill. Where the prefix has an affinity, other replicas have
+    /// mostly prefilled it already.
+    pub(super) fn uncached_tokens(&self, endpoint: &EndpointState, request: &Request) -> f64 {
+        let expected = request
+            .affinity_rank(endpoint.id)
+            .map_or(0.0, |rank| self.estimates.cache_hit_ratio[rank] * request.spec.prefix_tokens);
+        request.spec.prompt_tokens - endpoint.cached_tokens(&request.spec).max(expected)
+    }
+
+    /// Learns from the latency of a first token, or from a timeout, which is a lower bound of it.
+    pub(super) fn learn_first_token_latency(&mut self, now: Micros, id: EndpointId, elapsed: Micros) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        let fleet = &mut self.estimates.first_token_latency;
+        endpoint.first_token_latency.learn(now, fleet.last(), elapsed as f64, ENDPOINT_GAIN);
+        fleet.learn_fleet(now, elapsed as f64);
+    }
+
+    /// Learns from a prefill of `uncached_tokens`, or from a timeout, which is a lower bound: it took
+    /// `elapsed` for these and for this replica's prefills before it.
+    pub(super) fn learn_own_prefill(
+        &mut self, now: Micros, id: RequestId, at: EndpointId, uncached_tokens: f64, elapsed: Micros,
+    ) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let tokens = request.prefill_load_tokens - request.uncached_tokens + uncached_tokens;
+        self.learn_prefill_time(now, at, tokens.max(PREFILL_OVERHEAD_TOKENS), elapsed as f64);
+    }
+
+    /// Learns from the time of a prefill. What it took beyond its tokens was a wait for other replicas'
+    /// prefills, which does not grow with the prompt.
+    pub(super) fn learn_prefill_time(&mut self, now: Micros, id: EndpointId, tokens: f64, elapsed: f64) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        let fleet = &mut self.estimates;
+        let warmup_factor = endpoint.warmup_factor(now, &self.settings.rules);
+        let cost = elapsed * warmup_factor / tokens;
+        let max_rise = MAX_PREFILL_COST_RISE * fleet.prefill_cost_per_token;
+        fleet.prefill_cost_per_token += ENDPOINT_GAIN * (cost - fleet.prefill_cost_per_token).min(max_rise);
+        let wait = (elapsed - tokens * fleet.prefill_cost_per_token / warmup_factor).max(0.0);
+        endpoint.prefill_wait.learn(now, fleet.prefill_wait.last(), wait, ENDPOINT_GAIN);
+        fleet.prefill_wait.learn_fleet(now, wait);
+    }
+
+    /// Learns how much of a prefix an affinity endpoint had in its cache.
+    pub(super) fn learn_cache_hit_ratio(&mut self, id: RequestId, at: EndpointId, cached_tokens: f64) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.spec.prefix.is_none() {
+            return;
+        }
+        if let Some(rank) = request.affinity_rank(at) {
+            let sample = (cached_tokens / request.spec.prefix_tokens.max(1.0)).min(1.0);
+            let mean = &mut self.estimates.cache_hit_ratio[rank];
+            *mean += FLEET_GAIN * (sample - *mean);
+        }
+    }
+
+    /// Learns the speed of the endpoint's kind from a completed stream.
+    pub(super) fn learn_speed(&mut self, now: Micros, id: RequestId, at: EndpointId) {
+        let Some(request) = self.requests.get(&id).filter(|request| request.stage == Stage::Streaming) else {
+            return;
+        };
+        let Some(endpoint) = self.endpoints.get(&at) else { return };
+        let streams = self.stream_count(now, endpoint);
+        let duration = (now - request.last_progress_at) as f64;
+        self.speed_curves[endpoint.kind.0].learn(streams, request.expected_output_tokens, duration);
+    }
+}
--- /dev/null
+++ b/src/scheduler/load_report.rs
@@ -0,0 +1,101 @@
+//! Endpoints' load reports, and the health checks that fetch them where responses bring too few.
+
+use super::Scheduler;
+use super::action::Action;
+use super::decaying_average::{DecayingAverage, FLEET_GAIN};
+use super::endpoint::{EndpointState, Pool};
+use super::event::LoadReport;
+use super::hashing::unit_hash;
+use super::ids::{EndpointId, Micros, RequestId};
+use super::request::Stage;
+
+/// Microseconds for which a report holds: no endpoint renews its reports more seldom.
+pub(super) const LOAD_REPORT_LIFETIME: Micros = 1_000_000;
+/// Mean microseconds between the health checks that a decode endpoint gets from all replicas together.
+const FLEET_HEALTH_CHECK_INTERVAL: f64 = 350_000.0;
+/// Microseconds that a request waits for load reports: two round trips and a handshake, little against any
+/// objective.
+const QUEUE_QUERY_TIMEOUT: Micros = 15_000;
+/// Largest share of memory that a report is believed with; above 1, as some endpoints count requests still to
+/// come.
+const MAX_MEMORY_UTILIZATION: f64 = 2.0;
+
+impl Scheduler {
+    /// Takes in a load report; absurd values are passed over.
+    pub(super) fn record_load_report(&mut self, now: Micros, id: EndpointId, report: Option<&LoadReport>) {
+        let Some(report) = report else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        if let Some(tokens) = report.queued_prefill_tokens {
+            endpoint.queued_prefill_tokens = tokens.max(0.0).min(endpoint.memory_tokens);
+            endpoint.queue_reported_at = now;
+        }
+        if let Some(utilization) = report.memory_utilization {
+            self.record_memory_utilization(now, id, utilization);
+        }
+    }
+
+    /// What a decode endpoint's memory holds beyond this replica's streams is that of others.
+    fn record_memory_utilization(&mut self, now: Micros, id: EndpointId, utilization: f64) {
+        if !(0.0..=MAX_MEMORY_UTILIZATION).contains(&utilization) {
+            return;
+        }
+        let Some(endpoint) = self.endpoints.get(&id) else { return };
+        if endpoint.pool() == Pool::Prefill || !endpoint.memory_tokens.is_finite() {
+            return;
+        }
+        let streaming = self.own_streams(endpoint).filter(|request| request.stage == Stage::Streaming);
+        let own_tokens: f64 = streaming.map(|request| request.footprint_tokens).sum();
+        let external_tokens = (utilization * endpoint.memory_tokens - own_tokens).max(0.0);
+        let external_share = external_tokens / endpoint.memory_tokens.max(1.0);
+        self.estimates.external_share += FLEET_GAIN * (external_share - self.estimates.external_share);
+        if let Some(reporter) = self.endpoints.get_mut(&id) {
+            reporter.external_tokens = Some(DecayingAverage::new(now, external_tokens));
+        }
+    }
+
+    /// Checks the decode endpoints that are due. Their intervals are random, so that the checks of one
+    /// replica and those of all replicas spread out; the first interval of an endpoint begins without a
+    /// check.
+    pub(super) fn send_health_checks(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let enabled = self.settings.capabilities.health_checks;
+        if !enabled || self.requests.is_empty() || self.receives_enough_reports(now, Pool::Decode) {
+            return;
+        }
+        let mean_interval = FLEET_HEALTH_CHECK_INTERVAL * f64::from(self.settings.replicas);
+        let due = |endpoint: &&mut EndpointState| {
+            endpoint.pool() == Pool::Decode && endpoint.is_ready() && now >= endpoint.health_check_at
+        };
+        for endpoint in self.endpoints.values_mut().filter(due) {
+            let is_first = endpoint.health_check_at == 0;
+            if !is_first {
+                out.push(Action::HealthCheck(endpoint.id));
+            }
+            let draw = unit_hash(endpoint.id.0, now as u64 ^ self.salt) + if is_first { 0.0 } else { 0.5 };
+            endpoint.health_check_at = now.saturating_add((mean_interval * draw) as Micros);
+        }
+    }
+
+    /// Asks a new request's prefill endpoints for the length of their queues, and lets the request wait for
+    /// that.
+    pub(super) fn query_prefill_queues(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
+        let enabled = self.settings.capabilities.health_checks;
+        if !enabled || self.receives_enough_reports(now, Pool::Prefill) {
+            return;
+        }
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.load_reports_awaited_until = now + QUEUE_QUERY_TIMEOUT;
+        for endpoint_id in &request.affinity_endpoints {
+            if let Some(endpoint) = self.endpoints.get_mut(endpoint_id) {
+                endpoint.health_check_at = now;
+            }
+            out.push(Action::HealthCheck(*endpoint_id));
+        }
+    }
+
+    /// Whether this replica's own requests bring reports from each endpoint of a pool as often as these are
+    /// renewed.
+    fn receives_enough_reports(&self, now: Micros, pool: Pool) -> bool {
+        let reports_per_lifetime = self.arrival_rate_per_endpoint(now, pool) * LOAD_REPORT_LIFETIME as f64;
+        self.settings.replicas < 2 || reports_per_lifetime > 1.0
+    }
+}
--- /dev/null
+++ b/src/scheduler/quota.rs
@@ -0,0 +1,46 @@
+//! Tenants' quotas: what goes beyond this replica's part is served at best effort.
+
+use super::Scheduler;
+use super::ids::{Micros, TenantId};
+
+/// Multiple of an even part of a quota that one replica lets through: traffic is not spread evenly.
+const REPLICA_SLACK: f64 = 1.25;
+/// Microseconds of quota that may be used at once.
+const BURST_DURATION: f64 = 2e6;
+
+/// A token bucket; its rate is passed at each use.
+#[derive(Clone, Copy)]
+pub(super) struct TokenBucket {
+    tokens: f64,
+    refilled_at: Micros,
+}
+
+impl TokenBucket {
+    /// A bucket that its first use cuts down to its capacity.
+    pub(super) fn full() -> Self {
+        TokenBucket { tokens: f64::MAX, refilled_at: 0 }
+    }
+
+    /// Refills at `rate` tokens a microsecond, and takes a token if there is one.
+    fn take(&mut self, now: Micros, rate: f64) -> bool {
+        let capacity = (rate * BURST_DURATION).max(1.0);
+        self.tokens = (self.tokens + rate * (now - self.refilled_at) as f64).min(capacity);
+        self.refilled_at = now;
+        let available = self.tokens >= 1.0;
+        if available {
+            self.tokens -= 1.0;
+        }
+        available
+    }
+}
+
+impl Scheduler {
+    /// Charges the request to its tenant; whether it goes beyond this replica's part of the quota.
+    pub(super) fn exceeds_quota(&mut self, now: Micros, tenant: Option<TenantId>) -> bool {
+        let Some(tenant) = tenant else { return false };
+        let Some(bucket) = self.quotas.get_mut(tenant.0) else { return false };
+        let quota_per_s = self.settings.tenants[tenant.0].quota_per_s;
+        let rate = quota_per_s * REPLICA_SLACK / f64::from(self.settings.replicas) / 1e6;
+        !bucket.take(now, rate)
+    }
+}
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,78 +1,85 @@
-//! How little an endpoint that has just started is sent.
+//! Slow start: how little an endpoint that has just started is sent.
 
-use super::*;
+use super::Scheduler;
+use super::endpoint::{EndpointState, Pool};
+use super::hashing::unit_hash;
+use super::ids::{EndpointId, Micros};
+use super::settings::Rules;
 
-/// Of a cold endpoint's budget in use: sends of many routers bunch by chance.
+/// Share of a warming endpoint's budget that is used: sends of many replicas bunch up by chance.
 const SLOW_START_SHARE: f64 = 0.65;
 
-impl EndpointState {
-    /// Share of its capacity that a starting endpoint has, taken to grow evenly.
-    pub(super) fn warmup_factor(&self, now: Micros, rules: &Rules) -> f64 {
-        let Some(at) = self.started else { return 1.0 };
-        let age = now.saturating_sub(at) as f64 / rules.slow_start_duration.max(1) as f64;
-        (rules.initial_capacity + (1.0 - rules.initial_capacity) * age.max(0.0)).min(1.0)
-    }
-
-    pub(super) fn oldest_pending(&self, now: Micros) -> f64 {
-        self.pending.values().min().map_or(0.0, |&at| (now - at) as f64)
-    }
-}
-
-/// What of a cold endpoint's capacity this router has not used.
+/// What this replica has not yet used of a warming endpoint's capacity.
 #[derive(Clone, Copy, Default)]
-pub(super) struct SlowStart {
-    /// Since when, and the router's mark of earned sends at that moment.
-    since: Micros,
-    mark: f64,
-    /// Sends that were saved up before.
-    saved: f64,
+pub(super) struct SlowStartBudget {
+    /// When the budget was last reset.
+    reset_at: Micros,
+    /// The replica's credit at that moment.
+    credit_at_reset: f64,
+    /// Sends, mostly a part of one, that were there at the reset.
+    saved_sends: f64,
 }
 
-/// Sends that this router has earned at each running endpoint, of prefill and of decode endpoints, by what
-/// came in.
+/// Sends that this replica's arrivals have earned since its start, for each ready endpoint of a pool.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Earned {
-    at: Micros,
+pub(super) struct SlowStartCredit {
+    accrued_at: Micros,
     prefill: f64,
     decode: f64,
 }
 
-impl Earned {
-    fn of(&self, role: Role) -> f64 {
-        if role == Role::Prefill { self.prefill } else { self.decode }
+impl SlowStartCredit {
+    fn of(&self, pool: Pool) -> f64 {
+        match pool {
+            Pool::Prefill => self.prefill,
+            Pool::Decode => self.decode,
+        }
+    }
+}
+
+impl EndpointState {
+    /// Share of its capacity that an endpoint has after its start, taken to grow evenly up to 1.
+    pub(super) fn warmup_factor(&self, now: Micros, rules: &Rules) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let age = now.saturating_sub(started_at) as f64 / rules.slow_start_duration.max(1) as f64;
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * age.max(0.0)).min(1.0)
     }
 }
 
 impl Scheduler {
-    /// Counts what this router has earned since the last time, at the rate of now: what comes in later, as
-    /// in a burst that all routers see at once, earns nothing for the time before.
+    /// Adds the credit of the time since the last call at the present arrival rate. Later arrivals, as in a
+    /// burst that reaches all replicas at once, earn nothing for the time before them.
     pub(super) fn accrue_slow_start_credit(&mut self, now: Micros) {
-        let passed = (now - self.earned.at).max(0) as f64;
-        let (prefill, decode) = (self.own_rate(now, true) * passed, self.own_rate(now, false) * passed);
-        let Earned { prefill: before_prefill, decode: before_decode, .. } = self.earned;
-        self.earned = Earned { at: now, prefill: before_prefill + prefill, decode: before_decode + decode };
+        let passed = (now - self.slow_start_credit.accrued_at).max(0) as f64;
+        let prefill = self.arrival_rate_per_endpoint(now, Pool::Prefill) * passed;
+        let decode = self.arrival_rate_per_endpoint(now, Pool::Decode) * passed;
+        let credit = &mut self.slow_start_credit;
+        credit.accrued_at = now;
+        credit.prefill += prefill;
+        credit.decode += decode;
     }
 
-    /// Rule 4, slow start: own sends that a cold endpoint bears since the last: this router's part of what it
-    /// can
-    /// do, which grows, by what comes in: what goes there shrinks with this guard.
+    /// Sends that a warming endpoint bears from this replica since its last one: the replica's part of a
+    /// capacity that grows, by its arrivals.
     pub(super) fn slow_start_budget(&self, now: Micros, endpoint: &EndpointState) -> f64 {
-        let (rules, part) = (&self.settings.rules, endpoint.slow_start);
-        let warmup_factor = endpoint.warmup_factor(now - (now - part.since) / 2, rules);
-        let earned = self.earned.of(endpoint.role) - part.mark;
-        part.saved + earned * rules.overload_multiple * warmup_factor * SLOW_START_SHARE
+        let rules = &self.settings.rules;
+        let budget = endpoint.slow_start;
+        let warmup_factor = endpoint.warmup_factor(now - (now - budget.reset_at) / 2, rules);
+        let earned = self.slow_start_credit.of(endpoint.pool()) - budget.credit_at_reset;
+        budget.saved_sends + earned * rules.overload_multiple * warmup_factor * SLOW_START_SHARE
     }
 
-    /// What a cold endpoint bears has been used: the next send must be earned anew.
-    pub(super) fn use_slow_start(&mut self, now: Micros, to: EndpointId, saved: f64) {
-        let Some(endpoint) = self.endpoints.get_mut(&to) else { return };
-        endpoint.slow_start = SlowStart { since: now, mark: self.earned.of(endpoint.role), saved };
+    /// Resets an endpoint's budget, as a send has used it up or the endpoint has started.
+    pub(super) fn reset_slow_start_budget(&mut self, now: Micros, id: EndpointId, saved_sends: f64) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        let credit_at_reset = self.slow_start_credit.of(endpoint.pool());
+        endpoint.slow_start = SlowStartBudget { reset_at: now, credit_at_reset, saved_sends };
     }
 
-    /// Puts the first send to a cold endpoint off by chance, as all routers hear of a start at once: each has
-    /// a
-    /// random part of a send saved, also one that has started itself and seen no request yet.
-    pub(super) fn start_slowly(&mut self, now: Micros, to: EndpointId) {
-        self.use_slow_start(now, to, unit_hash(to.0, now as u64 ^ self.salt));
+    /// Begins the slow start of an endpoint. All replicas learn of a start at once, so each has a random part
+    /// of a send saved, and their first sends spread out; this holds for a replica without arrivals too.
+    pub(super) fn begin_slow_start(&mut self, now: Micros, id: EndpointId) {
+        let saved_sends = unit_hash(id.0, now as u64 ^ self.salt);
+        self.reset_slow_start_budget(now, id, saved_sends);
     }
 }
