--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -9,7 +9,7 @@
 use super::ids::{EndpointId, Micros, RequestId};
 use super::prefill_selection::EndpointPair;
 use super::queue::{QueueEntry, Tier};
-use super::request::{Request, Stage};
+use super::request::{Request, RequestState};
 use super::retry::ATTEMPTS_FOR_PREFILL_AND_DECODE;
 use super::settings::Role;
 
@@ -89,7 +89,8 @@
     /// next ones late.
     fn next_best_effort(&self, now: Micros) -> Option<Admission> {
         let in_progress = |request: &Request| {
-            let before_first_token = matches!(request.stage, Stage::Prefilling | Stage::Decoding);
+            let before_first_token =
+                matches!(request.state, RequestState::Prefilling { .. } | RequestState::Decoding(_));
             request.admitted_from == Tier::BestEffort && before_first_token
         };
         if !self.queue.tier(Tier::Objective).is_empty() || self.requests.values().any(in_progress) {
@@ -108,8 +109,8 @@
         let uncached_tokens = self.uncached_tokens(&self.endpoints[&prefilled_at], &self.requests[&id]);
         if let Some(request) = self.requests.get_mut(&id) {
             request.uncached_tokens = uncached_tokens;
-            request.admitted_from = match request.stage {
-                Stage::Queued(tier) => tier,
+            request.admitted_from = match request.state {
+                RequestState::Queued(tier) => tier,
                 _ => Tier::Objective,
             };
         }
@@ -124,8 +125,7 @@
         let own_load = self.own_prefill_tokens(&self.endpoints[&prefill]);
         if let Some(request) = self.requests.get_mut(&id) {
             request.prefill_load_tokens = own_load + request.uncached_tokens + PREFILL_OVERHEAD_TOKENS;
-            request.stage = Stage::Prefilling;
-            request.prefill_endpoint = Some(prefill);
+            request.state = RequestState::Prefilling { prefill_endpoint: prefill };
         }
         self.send(now, id, prefill, expected, out);
     }
--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -6,7 +6,9 @@
 use super::estimates::{PREFILL_OVERHEAD_TOKENS, SILENCE_ALLOWANCE};
 use super::ids::{EndpointId, Micros, RequestId};
 use super::outcome::Outcome;
-use super::request::{ExecutionSite, LocallyUnreachable, PossibleExecution, Request, Stage};
+use super::request::{
+    ExecutionSite, LocallyUnreachable, PossibleExecution, Request, RequestState, Reservation,
+};
 use super::retry::ATTEMPTS_FOR_PREFILL_AND_DECODE;
 
 /// Timeout of an attempt as a multiple of its expected time.
@@ -41,14 +43,14 @@
     ) {
         let expected = self.expected_first_token_time(now, &self.requests[&id], &self.endpoints[&decode]);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.stage = Stage::Decoding;
+            request.state = RequestState::Decoding(request.reservation());
         }
         self.send(now, id, decode, expected, out);
     }
 
     /// Microseconds until the first token at a decode endpoint, with the prefill where it has to do that too.
     fn expected_first_token_time(&self, now: Micros, request: &Request, decode: &EndpointState) -> f64 {
-        let prefill_time = match request.prefill_endpoint {
+        let prefill_time = match request.reservation() {
             Some(_) => 0.0,
             None => self.prefill_time(now, decode, request),
         };
@@ -83,9 +85,8 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&at) else { return };
         endpoint.pending_attempts.remove(&id);
-        request.stage = Stage::Streaming;
-        request.last_progress_at = now;
-        if request.prefill_endpoint.is_some() {
+        request.start_streaming(now);
+        if request.reservation().is_some() {
             self.learn_first_token_latency(now, at, elapsed);
         } else {
             endpoint.remember_prefix(&request.spec);
@@ -135,15 +136,15 @@
     /// low.
     fn learn_from_timeout(&mut self, now: Micros, result: &AttemptResult) {
         let Some(request) = self.requests.get(&result.request) else { return };
-        match request.stage {
-            Stage::Prefilling => {
+        match request.state {
+            RequestState::Prefilling { .. } => {
                 let uncached_tokens = request.uncached_tokens;
                 self.learn_own_prefill(now, result.request, result.endpoint, uncached_tokens, result.elapsed);
             }
-            Stage::Decoding => {
+            RequestState::Decoding(_) => {
                 self.learn_first_token_latency(now, result.endpoint, result.elapsed);
             }
-            Stage::Queued(_) | Stage::Prefilled | Stage::Streaming => {}
+            RequestState::Queued(_) | RequestState::Prefilled(_) | RequestState::Streaming(_) => {}
         }
     }
 
@@ -182,12 +183,11 @@
     fn move_on(&mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>) {
         let id = result.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        match (request.stage, result.outcome) {
-            (Stage::Prefilling, Outcome::Prefilled) => {
-                request.stage = Stage::Prefilled;
-                request.reserved_since = now;
+        match (request.state, result.outcome) {
+            (RequestState::Prefilling { prefill_endpoint }, Outcome::Prefilled) => {
+                request.state = RequestState::Prefilled(Reservation::new(prefill_endpoint, now));
             }
-            (Stage::Prefilling, _) => self.enqueue(id),
+            (RequestState::Prefilling { .. }, _) => self.enqueue(id),
             // A decode endpoint that stayed silent may have fetched the KV cache.
             (_, Outcome::StateMissing) => self.release_and_enqueue(id, out),
             (_, Outcome::Abandoned) => self.finish_unserved(id, out),
@@ -208,15 +208,17 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         // A malformed answer had begun, so the KV cache has moved.
         let unusable = transfer_stalled || result.outcome == Outcome::Malformed;
-        if unusable || request.prefill_endpoint.is_none() {
-            self.release_and_enqueue(id, out);
-            return;
-        }
-        // An attempt that did not reach its endpoint was not in flight: the KV cache waited all along.
-        if result.outcome.reached_endpoint(result.elapsed) {
-            request.reserved_since = now;
+        match request.reservation() {
+            Some(mut reservation) if !unusable => {
+                // An attempt that did not reach its endpoint was not in flight: the KV cache waited all
+                // along.
+                if result.outcome.reached_endpoint(result.elapsed) {
+                    reservation.reserved_since = now;
+                }
+                request.state = RequestState::Prefilled(reservation);
+            }
+            _ => self.release_and_enqueue(id, out),
         }
-        request.stage = Stage::Prefilled;
     }
 
     fn release_and_enqueue(&mut self, id: RequestId, out: &mut Vec<Action>) {
@@ -229,7 +231,9 @@
         let silent_cell = self.endpoints.get(&decode).map(|endpoint| endpoint.cell);
         if let Some(request) = self.requests.get_mut(&id) {
             request.silent_cell = silent_cell;
-            request.failed_transfers += 1;
+            if let Some(reservation) = request.reservation_mut() {
+                reservation.failed_transfers += 1;
+            }
         }
         self.unassign_decode_endpoint(id);
     }
@@ -238,11 +242,11 @@
     /// request has the attempts left to be prefilled elsewhere; whether it did.
     fn eject_stalled_prefill_endpoint(&mut self, now: Micros, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let Some(prefill_endpoint) = request.prefill_endpoint else { return false };
+        let Some(reservation) = request.reservation() else { return false };
         let attempts_needed = request.attempts() + ATTEMPTS_FOR_PREFILL_AND_DECODE;
-        let stalled = request.failed_transfers >= MAX_FAILED_TRANSFERS
+        let stalled = reservation.failed_transfers >= MAX_FAILED_TRANSFERS
             && attempts_needed <= self.settings.capabilities.max_attempts;
-        if stalled && let Some(prefill) = self.endpoints.get_mut(&prefill_endpoint) {
+        if stalled && let Some(prefill) = self.endpoints.get_mut(&reservation.prefill_endpoint) {
             prefill.transfer_stalled_until = now + TRANSFER_STALL_EJECTION;
         }
         stalled
--- a/src/scheduler/decode_capacity.rs
+++ b/src/scheduler/decode_capacity.rs
@@ -4,7 +4,7 @@
 use super::endpoint::EndpointState;
 use super::ids::Micros;
 use super::queue::Tier;
-use super::request::{Request, Stage};
+use super::request::{Request, RequestState};
 
 /// Share of the wanted pace that is used: answer lengths are estimates and the speed curve lags behind.
 const PACE_HEADROOM: f64 = 0.9;
@@ -26,7 +26,7 @@
 impl FirstTokenTest {
     /// The test of a waiting request, by its objective or, where that does not count any more, its deadline.
     pub(super) fn new(request: &Request, ready_in: f64) -> Self {
-        let best_effort = matches!(request.stage, Stage::Queued(Tier::BestEffort));
+        let best_effort = matches!(request.state, RequestState::Queued(Tier::BestEffort));
         let limit = if best_effort { request.deadline } else { request.objective_at };
         FirstTokenTest { ready_in, limit }
     }
--- a/src/scheduler/decode_selection.rs
+++ b/src/scheduler/decode_selection.rs
@@ -6,7 +6,7 @@
 use super::endpoint::{EndpointState, Pool};
 use super::hashing::rendezvous_score;
 use super::ids::{EndpointId, Micros, RequestId};
-use super::request::{Request, Stage};
+use super::request::{Request, RequestState, Reservation};
 use super::retry::FINAL_ANSWER_MARGIN;
 
 /// Power of a decode endpoint's room in its weight: mostly the one with the most room, but not for every
@@ -70,33 +70,43 @@
 
     /// Sends the prefilled requests on, and releases the KV caches that no decode endpoint takes in time.
     pub(super) fn send_prefilled(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let is_prefilled = |request: &&Request| request.stage == Stage::Prefilled;
+        let is_prefilled = |request: &&Request| matches!(request.state, RequestState::Prefilled(_));
         let prefilled: Vec<_> = self.requests.values().filter(is_prefilled).map(Request::id).collect();
         let first_token_time =
             self.shortest_time(Pool::Decode, |endpoint| self.first_token_time(now, endpoint));
         let earliest_first_token = now.saturating_add(first_token_time as Micros);
         for id in prefilled {
-            let request = &self.requests[&id];
-            if self.must_release(now, request) {
-                out.push(Action::ReleaseReservation(id));
-                self.enqueue(id);
-            } else if let Some(decode) = self.decode_for_reservation(now, request, earliest_first_token) {
-                self.assign_decode_endpoint(id, decode);
-                self.send_to_decode(now, id, decode, out);
-            }
+            self.send_or_release(now, id, earliest_first_token, out);
+        }
+    }
+
+    fn send_or_release(
+        &mut self, now: Micros, id: RequestId, earliest_first_token: Micros, out: &mut Vec<Action>,
+    ) {
+        let request = &self.requests[&id];
+        let RequestState::Prefilled(reservation) = request.state else { return };
+        if self.must_release(now, request, reservation) {
+            out.push(Action::ReleaseReservation(id));
+            self.enqueue(id);
+            return;
+        }
+        let decode = self.decode_for_reservation(now, request, reservation, earliest_first_token);
+        if let Some(decode) = decode {
+            self.assign_decode_endpoint(id, decode);
+            self.send_to_decode(now, id, decode, out);
         }
     }
 
     /// Whether a KV cache has to be released as no further attempt could use it in time.
-    fn must_release(&self, now: Micros, request: &Request) -> bool {
+    fn must_release(&self, now: Micros, request: &Request, reservation: Reservation) -> bool {
         request.attempts() >= self.settings.capabilities.max_attempts
             || now >= request.deadline - FINAL_ANSWER_MARGIN
-            || self.reserved_share(now, request) >= RELEASE_SHARE
+            || self.reserved_share(now, reservation) >= RELEASE_SHARE
     }
 
     /// Time that a KV cache has been reserved, as a share of the reservation limit.
-    fn reserved_share(&self, now: Micros, request: &Request) -> f64 {
-        let reserved_for = (now - request.reserved_since) as f64;
+    fn reserved_share(&self, now: Micros, reservation: Reservation) -> f64 {
+        let reserved_for = (now - reservation.reserved_since) as f64;
         reserved_for / self.settings.rules.reservation_limit.max(1) as f64
     }
 
@@ -104,21 +114,21 @@
     /// the test, else one in another cell than a silent one, else one nearby, and after a while one that
     /// fails the test.
     fn decode_for_reservation(
-        &self, now: Micros, request: &Request, earliest_first_token: Micros,
+        &self, now: Micros, request: &Request, reservation: Reservation, earliest_first_token: Micros,
     ) -> Option<EndpointId> {
         let mut test = FirstTokenTest::new(request, 0.0);
         if earliest_first_token > request.objective_at {
             // Waiting gains nothing once the objective is missed.
             test.limit = request.deadline;
         }
-        let prefill = request.prefill_endpoint.and_then(|id| self.endpoints.get(&id));
+        let prefill = self.endpoints.get(&reservation.prefill_endpoint);
         let tested = DecodeChoice { now, request, prefill, test: Some(test) };
         let untested = DecodeChoice { test: None, ..tested };
         self.choose_decode(&tested, |endpoint| endpoint.streams.contains(&request.id()))
             .or_else(|| self.choose_away_from_silent_cell(&tested))
             .or_else(|| self.choose_nearest(&tested))
             .or_else(|| {
-                let may_skip_test = self.reserved_share(now, request) >= UNTESTED_DECODE_SHARE;
+                let may_skip_test = self.reserved_share(now, reservation) >= UNTESTED_DECODE_SHARE;
                 if may_skip_test { self.choose_nearest(&untested) } else { None }
             })
     }
--- a/src/scheduler/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -6,7 +6,7 @@
 use super::ids::{EndpointId, Micros, RequestId};
 use super::load_report::LOAD_REPORT_LIFETIME;
 use super::prefill_selection::AFFINITY_ENDPOINTS;
-use super::request::{Request, Stage};
+use super::request::Request;
 
 /// Tokens added to each prefill for the part of its time that does not depend on its length.
 pub(super) const PREFILL_OVERHEAD_TOKENS: f64 = 300.0;
@@ -27,7 +27,7 @@
 /// Most relative rise of the prefill cost by one sample: a slower one has mostly waited, too.
 const MAX_PREFILL_COST_RISE: f64 = 0.1;
 
-/// What is known of the fleet as a whole.
+/// What is known of the fleet in total.
 pub(super) struct FleetEstimates {
     /// Microseconds to prefill one token at an endpoint with nothing queued.
     pub(super) prefill_cost_per_token: f64,
@@ -95,7 +95,7 @@
     /// Tokens of this replica's prefills in flight at an endpoint.
     pub(super) fn own_prefill_tokens(&self, endpoint: &EndpointState) -> f64 {
         let pending = endpoint.pending_attempts.keys().filter_map(|id| self.requests.get(id));
-        let prefills = pending.filter(|request| request.stage == Stage::Prefilling);
+        let prefills = pending.filter(|request| request.is_prefilling());
         prefills.map(|request| request.uncached_tokens + PREFILL_OVERHEAD_TOKENS).sum()
     }
 
@@ -155,9 +155,7 @@
 
     /// Learns the speed of the endpoint's kind from a completed stream.
     pub(super) fn learn_speed(&mut self, now: Micros, id: RequestId, at: EndpointId) {
-        let Some(request) = self.requests.get(&id).filter(|request| request.stage == Stage::Streaming) else {
-            return;
-        };
+        let Some(request) = self.requests.get(&id).filter(|request| request.is_streaming()) else { return };
         let Some(endpoint) = self.endpoints.get(&at) else { return };
         let streams = self.stream_count(now, endpoint);
         let duration = (now - request.last_progress_at) as f64;
--- a/src/scheduler/load_report.rs
+++ b/src/scheduler/load_report.rs
@@ -7,7 +7,6 @@
 use super::event::LoadReport;
 use super::hashing::unit_hash;
 use super::ids::{EndpointId, Micros, RequestId};
-use super::request::Stage;
 
 /// Microseconds for which a report holds: no endpoint renews its reports more seldom.
 pub(super) const LOAD_REPORT_LIFETIME: Micros = 1_000_000;
@@ -43,7 +42,7 @@
         if endpoint.pool() == Pool::Prefill || !endpoint.memory_tokens.is_finite() {
             return;
         }
-        let streaming = self.own_streams(endpoint).filter(|request| request.stage == Stage::Streaming);
+        let streaming = self.own_streams(endpoint).filter(|request| request.is_streaming());
         let own_tokens: f64 = streaming.map(|request| request.footprint_tokens).sum();
         let external_tokens = (utilization * endpoint.memory_tokens - own_tokens).max(0.0);
         let external_share = external_tokens / endpoint.memory_tokens.max(1.0);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -77,8 +77,10 @@
     estimates: FleetEstimates,
     slow_start_credit: SlowStartCredit,
     arrivals: ArrivalRate,
+    /// When the timer that is set fires.
     timer_due_at: Option<Micros>,
     watch_requested_at: Option<Micros>,
+    /// The endpoint list is watched, or a watch has been requested.
     watch_open: bool,
 }
 
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -6,7 +6,7 @@
 use super::action::Action;
 use super::endpoint::{EndpointState, Pool};
 use super::ids::{EndpointId, Micros, RequestId};
-use super::request::{Request, Stage};
+use super::request::{Request, RequestState};
 use super::retry::FINAL_ANSWER_MARGIN;
 
 /// Requests of each tier whose prefill time is estimated in each round: far above a usual queue, and it
@@ -76,9 +76,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let tier = if request.over_quota { Tier::BestEffort } else { Tier::Objective };
         request.affinity_endpoints = affinity_endpoints;
-        request.prefill_endpoint = None;
-        request.failed_transfers = 0;
-        request.stage = Stage::Queued(tier);
+        request.state = RequestState::Queued(tier);
         self.queue.tier_mut(tier).insert(request.queue_entry());
     }
 
@@ -97,7 +95,7 @@
             if self.queue.demote(entry)
                 && let Some(request) = self.requests.get_mut(&entry.request)
             {
-                request.stage = Stage::Queued(Tier::BestEffort);
+                request.state = RequestState::Queued(Tier::BestEffort);
             }
         }
         for entry in self.overdue(now, Tier::BestEffort, first_token_time) {
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -9,18 +9,42 @@
 const EXPECTED_OUTPUT_SHARE: f64 = 0.3;
 
 /// Where a request stands.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Stage {
+///
+/// `Queued` goes to `Prefilling`, or to `Decoding` at an endpoint that prefills by itself; a prefill ends in
+/// `Prefilled`, and that goes to `Decoding`. When an attempt fails, the request returns to `Prefilled` if its
+/// KV cache is still of use, else to `Queued`. A stream mostly ends with the request.
+#[derive(Clone, Copy)]
+pub(super) enum RequestState {
     /// Waits in a tier of the queue.
     Queued(Tier),
     /// Its prompt is being prefilled at an endpoint.
-    Prefilling,
+    Prefilling {
+        /// Which endpoint.
+        prefill_endpoint: EndpointId,
+    },
     /// Its KV cache waits at a prefill endpoint, and no attempt is in flight.
-    Prefilled,
-    /// Sent to a decode endpoint.
-    Decoding,
-    /// The first token is out.
-    Streaming,
+    Prefilled(Reservation),
+    /// Sent to a decode endpoint: with the reserved KV cache, or without one to be prefilled there.
+    Decoding(Option<Reservation>),
+    /// The first token is out; the reservation as before.
+    Streaming(Option<Reservation>),
+}
+
+/// A KV cache that is reserved at a prefill endpoint.
+#[derive(Clone, Copy)]
+pub(super) struct Reservation {
+    pub(super) prefill_endpoint: EndpointId,
+    /// Since when it waits with no attempt in flight.
+    pub(super) reserved_since: Micros,
+    /// Decode endpoints that stayed silent when sent this KV cache.
+    pub(super) failed_transfers: u32,
+}
+
+impl Reservation {
+    /// A KV cache that waits from now on.
+    pub(super) fn new(prefill_endpoint: EndpointId, now: Micros) -> Self {
+        Reservation { prefill_endpoint, reserved_since: now, failed_transfers: 0 }
+    }
 }
 
 /// An attempt that may have executed the request.
@@ -50,13 +74,7 @@
 /// A request that has had no final answer, or whose last attempt has not ended.
 pub(super) struct Request {
     pub(super) spec: RequestSpec,
-    pub(super) stage: Stage,
-    /// The endpoint that prefills its prompt or has its KV cache.
-    pub(super) prefill_endpoint: Option<EndpointId>,
-    /// Since when the KV cache waits with no attempt in flight.
-    pub(super) reserved_since: Micros,
-    /// Decode endpoints that stayed silent when sent this KV cache.
-    pub(super) failed_transfers: u32,
+    pub(super) state: RequestState,
     /// When its first token is due, and when the client gives up.
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
@@ -110,10 +128,7 @@
         let objective = class.first_token_objective.saturating_add(for_prompt as Micros);
         Request {
             spec: spec.clone(),
-            stage: Stage::Queued(Tier::Objective),
-            prefill_endpoint: None,
-            reserved_since: 0,
-            failed_transfers: 0,
+            state: RequestState::Queued(Tier::Objective),
             objective_at: now.saturating_add(objective.min(spec.client_timeout)),
             deadline: now.saturating_add(spec.client_timeout),
             expected_output_tokens,
@@ -147,7 +162,56 @@
 
     /// Whether it waits here, with no attempt in flight.
     pub(super) fn is_waiting(&self) -> bool {
-        matches!(self.stage, Stage::Queued(_) | Stage::Prefilled)
+        matches!(self.state, RequestState::Queued(_) | RequestState::Prefilled(_))
+    }
+
+    /// Whether its prompt is being prefilled by an attempt of its own.
+    pub(super) fn is_prefilling(&self) -> bool {
+        matches!(self.state, RequestState::Prefilling { .. })
+    }
+
+    /// Whether an answer is being streamed.
+    pub(super) fn is_streaming(&self) -> bool {
+        matches!(self.state, RequestState::Streaming(_))
+    }
+
+    /// Its reserved KV cache, where there is one.
+    pub(super) fn reservation(&self) -> Option<Reservation> {
+        match self.state {
+            RequestState::Prefilled(reservation) => Some(reservation),
+            RequestState::Decoding(reservation) | RequestState::Streaming(reservation) => reservation,
+            RequestState::Queued(_) | RequestState::Prefilling { .. } => None,
+        }
+    }
+
+    /// The reservation for an update in place.
+    pub(super) fn reservation_mut(&mut self) -> Option<&mut Reservation> {
+        match &mut self.state {
+            RequestState::Prefilled(reservation) => Some(reservation),
+            RequestState::Decoding(reservation) | RequestState::Streaming(reservation) => {
+                reservation.as_mut()
+            }
+            RequestState::Queued(_) | RequestState::Prefilling { .. } => None,
+        }
+    }
+
+    /// The first token is out. A prefill endpoint that streams the answer by itself, against its role, counts
+    /// as one with a reservation.
+    pub(super) fn start_streaming(&mut self, now: Micros) {
+        let reservation = match self.state {
+            RequestState::Prefilling { prefill_endpoint } => Some(Reservation::new(prefill_endpoint, now)),
+            _ => self.reservation(),
+        };
+        self.state = RequestState::Streaming(reservation);
+        self.last_progress_at = now;
+    }
+
+    /// The endpoint that prefills its prompt or has its KV cache.
+    pub(super) fn prefill_endpoint(&self) -> Option<EndpointId> {
+        match self.state {
+            RequestState::Prefilling { prefill_endpoint } => Some(prefill_endpoint),
+            _ => self.reservation().map(|reservation| reservation.prefill_endpoint),
+        }
     }
 
     /// Rank of an endpoint in the affinity order of its prefix.
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -4,7 +4,7 @@
 use super::action::Action;
 use super::endpoint::Pool;
 use super::ids::{AttemptId, EndpointId, Micros, RequestId};
-use super::request::{Request, Stage};
+use super::request::{Request, RequestState};
 use super::settings::{DeduplicationScope, Idempotency, Settings};
 
 /// Attempts that a prompt needs which is prefilled at one endpoint and decoded at another.
@@ -32,11 +32,9 @@
 
     /// Until when an attempt with the reserved KV cache may begin.
     fn reservation_start_limit(&self, settings: &Settings) -> Option<Micros> {
-        if self.stage != Stage::Decoding || self.prefill_endpoint.is_none() {
-            return None;
-        }
+        let RequestState::Decoding(Some(reservation)) = self.state else { return None };
         let usable_for = (settings.rules.reservation_limit as f64 * RESERVED_START_SHARE) as Micros;
-        Some(self.reserved_since.saturating_add(usable_for))
+        Some(reservation.reserved_since.saturating_add(usable_for))
     }
 
     /// Until when an attempt may begin that could execute a keyed request a second time.
@@ -74,7 +72,7 @@
     /// Whether the request has the attempts left that it needs, and an endpoint that may execute it.
     pub(super) fn may_run_anywhere(&self, now: Micros, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return true };
-        let needed = if request.prefill_endpoint.is_some() {
+        let needed = if request.prefill_endpoint().is_some() {
             ATTEMPTS_FOR_DECODE
         } else {
             ATTEMPTS_FOR_PREFILL_AND_DECODE
@@ -114,7 +112,7 @@
             return;
         }
         request.disconnected = true;
-        if self.settings.capabilities.cancellation && !(request.stage == Stage::Streaming) {
+        if self.settings.capabilities.cancellation && !request.is_streaming() {
             let attempt = AttemptId(request.ordered_attempts.max(1) - 1);
             out.push(Action::Cancel { request: id, attempt });
         }
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -135,6 +135,6 @@
     pub rules: Rules,
     /// What the deployment allows.
     pub capabilities: Capabilities,
-    /// The endpoint list must be watched at discovery; otherwise updates come unasked.
+    /// The endpoint list must be watched at discovery; otherwise updates come without a watch.
     pub watch_endpoint_list: bool,
 }
