--- /dev/null
+++ b/src/simulator/adapter.rs
@@ -0,0 +1,91 @@
+//! The simulated replicas: a scheduler for each, and the events of a batch handed to the right one.
+
+use std::collections::BTreeMap;
+
+use super::error::{BatchError, EventError};
+use super::messages::{Batch, Inbox, Outbox, Reply, WireEvent};
+use super::settings::{SettingNames, settings_from_options};
+use super::translate::{command_from_action, event_from_wire};
+use super::units::micros_from_millis;
+use crate::scheduler::{Action, Event, Micros, Scheduler};
+
+/// One simulated replica, from its launch to its destruction.
+struct Replica {
+    scheduler: Scheduler,
+    names: SettingNames,
+}
+
+/// Runs all simulated replicas of one process: a scheduler for each, with nothing shared among them.
+#[derive(Default)]
+pub struct Adapter {
+    /// By the wire's `dispatcherId`.
+    replicas: BTreeMap<u64, Replica>,
+}
+
+impl Adapter {
+    /// Plays one batch, a line of JSON, and returns the line that answers it. Replicas without actions are left out
+    /// of the answer.
+    ///
+    /// # Errors
+    ///
+    /// When the line is not a batch or one of its events is malformed. Events before the malformed one may have been
+    /// played.
+    pub fn batch(&mut self, line: &[u8]) -> Result<String, BatchError> {
+        let batch: Batch = serde_json::from_slice(line)?;
+        let now = micros_from_millis(batch.at_time);
+        let mut reply = Reply { dispatchers: Vec::new() };
+        for inbox in batch.dispatchers {
+            let dispatcher_id = inbox.dispatcher_id;
+            let actions = self.play_inbox(now, inbox)?;
+            if !actions.is_empty() {
+                let cmds = actions.into_iter().map(command_from_action).collect();
+                reply.dispatchers.push(Outbox { dispatcher_id, cmds });
+            }
+        }
+        Ok(serde_json::to_string(&reply)?)
+    }
+
+    /// Plays one replica's events as one round of its scheduler.
+    fn play_inbox(&mut self, now: Micros, inbox: Inbox) -> Result<Vec<Action>, BatchError> {
+        let dispatcher_id = inbox.dispatcher_id;
+        let mut events = Vec::new();
+        for (index, message) in inbox.events.into_iter().enumerate() {
+            self.accept(dispatcher_id, message, &mut events).map_err(|source| BatchError::Event {
+                dispatcher_id,
+                index,
+                source,
+            })?;
+        }
+        let mut actions = Vec::new();
+        if let Some(replica) = self.replicas.get_mut(&dispatcher_id) {
+            replica.scheduler.handle(now, &events, &mut actions);
+        }
+        Ok(actions)
+    }
+
+    /// Launches or destroys the replica, or adds the message's event to the `events` of the replica's round. Events
+    /// from before a launch or a destruction are dropped: they were for the replica's former life.
+    fn accept(
+        &mut self, dispatcher_id: u64, message: WireEvent, events: &mut Vec<Event>,
+    ) -> Result<(), EventError> {
+        match message {
+            WireEvent::Launch { salt, options } => {
+                let (settings, names) = settings_from_options(&options)?;
+                let scheduler = Scheduler::new(settings, salt);
+                self.replicas.insert(dispatcher_id, Replica { scheduler, names });
+                events.clear();
+            }
+            WireEvent::Destroy {} => {
+                self.replicas.remove(&dispatcher_id);
+                events.clear();
+            }
+            other => {
+                let replica = self.replicas.get(&dispatcher_id).ok_or(EventError::NotLaunched)?;
+                if let Some(event) = event_from_wire(other, &replica.names)? {
+                    events.push(event);
+                }
+            }
+        }
+        Ok(())
+    }
+}
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -67,20 +67,20 @@
             "unknown class \"c9\"",
         ),
     ] {
-        let fault = launched().batch(batch(1001.0, event).as_bytes()).unwrap_err();
+        let fault = launched().batch(batch(1001.0, event).as_bytes()).unwrap_err().to_string();
         assert!(fault.contains(word), "{fault}");
     }
-    let fault = launched().batch(b"not JSON").unwrap_err();
+    let fault = launched().batch(b"not JSON").unwrap_err().to_string();
     assert!(fault.contains("expected"), "{fault}");
 }
 
 #[test]
 fn settings_that_contradict_themselves_are_named_plainly() {
     let no_reader = OPTIONS.replace(r#"["read","write"]"#, r#"["write","write"]"#);
-    let fault = Adapter::default().batch(launch(&no_reader).as_bytes()).unwrap_err();
+    let fault = Adapter::default().batch(launch(&no_reader).as_bytes()).unwrap_err().to_string();
     assert!(fault.contains("no kind reads prompts"), "{fault}");
     let short = OPTIONS.replace(r#""tokenAim":[60.0]"#, r#""tokenAim":[]"#);
-    let fault = Adapter::default().batch(launch(&short).as_bytes()).unwrap_err();
+    let fault = Adapter::default().batch(launch(&short).as_bytes()).unwrap_err().to_string();
     assert!(fault.contains("tokenAim has no entry"), "{fault}");
 }
 
