--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -18,7 +18,7 @@
         if size == 0 {
             break;
         }
-        let reply = adapter.batch(&line).map_err(|e| format!("line {number}: {e}"))?;
+        let reply = adapter.handle_batch(&line).map_err(|e| format!("line {number}: {e}"))?;
         writeln!(output, "{reply}")
             .and_then(|()| output.flush())
             .map_err(|e| format!("line {number}: cannot write: {e}"))?;
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::error::{BatchError, EventError};
-use super::messages::{Batch, Inbox, Outbox, Reply, WireEvent};
+use super::messages::{Batch, BatchReply, Inbox, Outbox, WireEvent};
 use super::settings::{SettingNames, settings_from_options};
 use super::translate::{command_from_action, event_from_wire};
 use super::units::micros_from_millis;
@@ -23,23 +23,23 @@
 }
 
 impl Adapter {
-    /// Plays one batch, a line of JSON, and returns the line that answers it. Replicas without actions are left out
-    /// of the answer.
+    /// Plays one batch, a line of JSON, and returns the line that answers it. Replicas without actions are
+    /// left out of the answer.
     ///
     /// # Errors
     ///
-    /// When the line is not a batch or one of its events is malformed. Events before the malformed one may have been
-    /// played.
-    pub fn batch(&mut self, line: &[u8]) -> Result<String, BatchError> {
+    /// When the line is not a batch or one of its events is malformed. Events before the malformed one may
+    /// have been played.
+    pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, BatchError> {
         let batch: Batch = serde_json::from_slice(line)?;
-        let now = micros_from_millis(batch.at_time);
-        let mut reply = Reply { dispatchers: Vec::new() };
-        for inbox in batch.dispatchers {
-            let dispatcher_id = inbox.dispatcher_id;
+        let now = micros_from_millis(batch.now_ms);
+        let mut reply = BatchReply { outboxes: Vec::new() };
+        for inbox in batch.inboxes {
+            let replica_id = inbox.replica;
             let actions = self.play_inbox(now, inbox)?;
             if !actions.is_empty() {
-                let cmds = actions.into_iter().map(command_from_action).collect();
-                reply.dispatchers.push(Outbox { dispatcher_id, cmds });
+                let commands = actions.into_iter().map(command_from_action).collect();
+                reply.outboxes.push(Outbox { replica: replica_id, commands });
             }
         }
         Ok(serde_json::to_string(&reply)?)
@@ -47,40 +47,40 @@
 
     /// Plays one replica's events as one round of its scheduler.
     fn play_inbox(&mut self, now: Micros, inbox: Inbox) -> Result<Vec<Action>, BatchError> {
-        let dispatcher_id = inbox.dispatcher_id;
+        let replica_id = inbox.replica;
         let mut events = Vec::new();
         for (index, message) in inbox.events.into_iter().enumerate() {
-            self.accept(dispatcher_id, message, &mut events).map_err(|source| BatchError::Event {
-                dispatcher_id,
+            self.accept(replica_id, message, &mut events).map_err(|source| BatchError::Event {
+                replica: replica_id,
                 index,
                 source,
             })?;
         }
         let mut actions = Vec::new();
-        if let Some(replica) = self.replicas.get_mut(&dispatcher_id) {
+        if let Some(replica) = self.replicas.get_mut(&replica_id) {
             replica.scheduler.handle(now, &events, &mut actions);
         }
         Ok(actions)
     }
 
-    /// Launches or destroys the replica, or adds the message's event to the `events` of the replica's round. Events
-    /// from before a launch or a destruction are dropped: they were for the replica's former life.
+    /// Launches or destroys the replica, or adds the message's event to the `events` of the replica's round.
+    /// Events from before a launch or a destruction are dropped: they were for the replica's former life.
     fn accept(
-        &mut self, dispatcher_id: u64, message: WireEvent, events: &mut Vec<Event>,
+        &mut self, replica_id: u64, message: WireEvent, events: &mut Vec<Event>,
     ) -> Result<(), EventError> {
         match message {
             WireEvent::Launch { salt, options } => {
                 let (settings, names) = settings_from_options(&options)?;
                 let scheduler = Scheduler::new(settings, salt);
-                self.replicas.insert(dispatcher_id, Replica { scheduler, names });
+                self.replicas.insert(replica_id, Replica { scheduler, names });
                 events.clear();
             }
             WireEvent::Destroy {} => {
-                self.replicas.remove(&dispatcher_id);
+                self.replicas.remove(&replica_id);
                 events.clear();
             }
             other => {
-                let replica = self.replicas.get(&dispatcher_id).ok_or(EventError::NotLaunched)?;
+                let replica = self.replicas.get(&replica_id).ok_or(EventError::NotLaunched)?;
                 if let Some(event) = event_from_wire(other, &replica.names)? {
                     events.push(event);
                 }
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -85,10 +85,10 @@
         found: Value,
     },
     /// The result of a reservation is neither success nor failure.
-    #[error("holdResult: unknown kind {kind}")]
+    #[error("holdResult: unknown kind {result}")]
     UnknownReservationResult {
         /// The result's number on the wire.
-        kind: i64,
+        result: i64,
     },
 }
 
@@ -99,10 +99,10 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// One of its events is at fault.
-    #[error("dispatcher {dispatcher_id}: event {index}: {source}")]
+    #[error("dispatcher {replica}: event {index}: {source}")]
     Event {
         /// The replica that the event is for.
-        dispatcher_id: u64,
+        replica: u64,
         /// The event's place among those of this replica in this batch, from 0.
         index: usize,
         /// What is wrong with it.
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,9 +1,10 @@
-//! Lets a simulator drive the scheduler: batches of events come in as JSON lines, and each is answered by a line
-//! with the scheduler's actions. Decides nothing.
+//! Lets a simulator drive the scheduler: batches of events come in as JSON lines, and each is answered by a
+//! line with the scheduler's actions. Decides nothing.
 //!
-//! [`messages`] holds the wire's types, [`translate`] turns them into the scheduler's events and its actions into
-//! commands, and [`adapter`] keeps a scheduler for each simulated replica. The settings object of the first message
-//! is also what a replica's configuration file holds: [`settings_object`] has its types and [`settings`] reads it.
+//! `messages` holds the wire's types, `translate` turns them into the scheduler's events and its actions into
+//! commands, and `adapter` keeps a scheduler for each simulated replica. The settings object of the first
+//! message is also what a replica's configuration file holds: `settings_object` has its types and `settings`
+//! reads it.
 
 mod adapter;
 mod error;
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -4,7 +4,7 @@
 
 use super::error::{SettingsError, UnknownName};
 use super::settings_object::{
-    Account, FamilyInfo, Invariants, Lane, MembershipMode, Options, Semantics, WireLimits,
+    Account, FamilyInfo, Invariants, Lane, MembershipMode, Options, WireIdempotency, WireLimits,
 };
 use super::units::micros_from_millis;
 use crate::scheduler::{
@@ -62,30 +62,30 @@
 
 /// As [`settings_from`], for an object that has been parsed.
 pub(super) fn settings_from_options(options: &Options) -> Result<(Settings, SettingNames), SettingsError> {
-    let kinds = endpoint_kinds(&options.kinds, &options.family_info)?;
-    if options.balancers == 0 {
+    let kinds = endpoint_kinds(&options.kinds, &options.family)?;
+    if options.replicas == 0 {
         return Err(SettingsError::NoReplicas);
     }
     let names = setting_names(options);
     let settings = Settings {
-        replicas: options.balancers,
-        zone: names.zone_id(&options.locality)?,
-        classes: request_classes(&options.lanes, &options.family_info)?,
+        replicas: options.replicas,
+        zone: names.zone_id(&options.zone)?,
+        classes: request_classes(&options.classes, &options.family)?,
         kinds,
-        tenants: options.accounts.iter().map(tenant).collect(),
-        rules: rules(&options.invariants, &options.family_info),
-        capabilities: capabilities(&options.limits, &options.family_info),
-        watch_endpoint_list: matches!(options.membership_mode, MembershipMode::Ask),
+        tenants: options.tenants.iter().map(tenant).collect(),
+        rules: rules(&options.rules, &options.family),
+        capabilities: capabilities(&options.capabilities, &options.family),
+        watch_endpoint_list: matches!(options.membership_mode, MembershipMode::Watch),
     };
     Ok((settings, names))
 }
 
 fn setting_names(options: &Options) -> SettingNames {
     SettingNames {
-        zones: options.failure_domains.clone(),
+        zones: options.zones.clone(),
         kinds: options.kinds.clone(),
-        classes: options.lanes.iter().map(|lane| lane.name.clone()).collect(),
-        tenants: options.accounts.iter().map(|account| account.name.clone()).collect(),
+        classes: options.classes.iter().map(|class| class.name.clone()).collect(),
+        tenants: options.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
     }
 }
 
@@ -110,74 +110,74 @@
 }
 
 fn endpoint_kind(name: &str, index: usize, family: &FamilyInfo) -> Result<EndpointKind, SettingsError> {
-    let role =
-        family.role_by_kind.get(index).ok_or_else(|| SettingsError::MissingRole { kind: name.to_owned() })?;
+    let role = family.roles.get(index).ok_or_else(|| SettingsError::MissingRole { kind: name.to_owned() })?;
     let memory_tokens = family.memory_tokens.as_ref().and_then(|tokens| tokens.get(index).copied());
     Ok(EndpointKind { role: (*role).into(), memory_tokens })
 }
 
-fn request_classes(lanes: &[Lane], family: &FamilyInfo) -> Result<Vec<RequestClass>, SettingsError> {
-    lanes.iter().enumerate().map(|(index, lane)| request_class(lane, index, family)).collect()
+fn request_classes(classes: &[Lane], family: &FamilyInfo) -> Result<Vec<RequestClass>, SettingsError> {
+    classes.iter().enumerate().map(|(index, class)| request_class(class, index, family)).collect()
 }
 
-fn request_class(lane: &Lane, index: usize, family: &FamilyInfo) -> Result<RequestClass, SettingsError> {
-    let class_entry = |list: &[f64], key: &'static str| {
-        list.get(index)
+fn request_class(class: &Lane, index: usize, family: &FamilyInfo) -> Result<RequestClass, SettingsError> {
+    let entry_of_class = |entries: &[f64], key: &'static str| {
+        entries
+            .get(index)
             .copied()
-            .ok_or_else(|| SettingsError::MissingClassEntry { key, class: lane.name.clone() })
+            .ok_or_else(|| SettingsError::MissingClassEntry { key, class: class.name.clone() })
     };
-    let idempotency = idempotency(lane)?;
-    // This one is in microseconds already.
-    let objective_per_1000_prompt_tokens =
-        class_entry(&family.aim_us_per1000_prompt_tokens, "aimUsPer1000PromptTokens")?;
-    let inter_token_objective = class_entry(&family.token_aim, "tokenAim")?;
+    let idempotency = idempotency(class)?;
+    let objective_per_1000_prompt_tokens_us =
+        entry_of_class(&family.objectives_per_1000_prompt_tokens_us, "aimUsPer1000PromptTokens")?;
+    let inter_token_objective_ms = entry_of_class(&family.inter_token_objectives_ms, "tokenAim")?;
     Ok(RequestClass {
-        first_token_objective: micros_from_millis(lane.objective),
-        objective_per_1000_prompt_tokens: objective_per_1000_prompt_tokens as Micros,
-        deadline: micros_from_millis(lane.deadline),
-        inter_token_objective: micros_from_millis(inter_token_objective),
-        priority_weight: lane.worth,
-        late_weight: lane.late_worth,
+        first_token_objective: micros_from_millis(class.first_token_objective_ms),
+        objective_per_1000_prompt_tokens: objective_per_1000_prompt_tokens_us as Micros,
+        deadline: micros_from_millis(class.deadline_ms),
+        inter_token_objective: micros_from_millis(inter_token_objective_ms),
+        priority_weight: class.priority_weight,
+        late_weight: class.late_weight,
         idempotency,
     })
 }
 
 /// What a second execution of the class's requests does. A keyed class must have both a scope and a window.
-fn idempotency(lane: &Lane) -> Result<Idempotency, SettingsError> {
-    match lane.semantics {
-        Semantics::ReadLike => Ok(Idempotency::Idempotent),
-        Semantics::NonIdempotent => Ok(Idempotency::NonIdempotent),
-        Semantics::IdempotencyKey => {
-            let class = &lane.name;
-            let scope = lane.group.ok_or_else(|| SettingsError::MissingScope { class: class.clone() })?;
-            let window = lane.window.ok_or_else(|| SettingsError::MissingWindow { class: class.clone() })?;
-            Ok(Idempotency::Keyed { scope: scope.into(), window: micros_from_millis(window) })
+fn idempotency(class: &Lane) -> Result<Idempotency, SettingsError> {
+    match class.idempotency {
+        WireIdempotency::Idempotent => Ok(Idempotency::Idempotent),
+        WireIdempotency::NonIdempotent => Ok(Idempotency::NonIdempotent),
+        WireIdempotency::Keyed => {
+            let name = &class.name;
+            let scope = class.scope.ok_or_else(|| SettingsError::MissingScope { class: name.clone() })?;
+            let window_ms =
+                class.window_ms.ok_or_else(|| SettingsError::MissingWindow { class: name.clone() })?;
+            Ok(Idempotency::Keyed { scope: scope.into(), window: micros_from_millis(window_ms) })
         }
     }
 }
 
-fn rules(invariants: &Invariants, family: &FamilyInfo) -> Rules {
+fn rules(rules: &Invariants, family: &FamilyInfo) -> Rules {
     Rules {
-        answer_slack: micros_from_millis(invariants.answer_slack),
-        drain_grace: micros_from_millis(invariants.drain_grace),
-        overload_multiple: invariants.fall_multiple,
-        overload_window: micros_from_millis(invariants.overload_for),
-        slow_start_duration: micros_from_millis(invariants.ramp_time),
-        initial_capacity: invariants.start_capacity,
-        reservation_limit: micros_from_millis(family.pin_limit),
+        answer_slack: micros_from_millis(rules.answer_slack_ms),
+        drain_grace: micros_from_millis(rules.drain_grace_ms),
+        overload_multiple: rules.overload_multiple,
+        overload_window: micros_from_millis(rules.overload_window_ms),
+        slow_start_duration: micros_from_millis(rules.slow_start_duration_ms),
+        initial_capacity: rules.initial_capacity,
+        reservation_limit: micros_from_millis(family.reservation_limit_ms),
     }
 }
 
 fn capabilities(limits: &WireLimits, family: &FamilyInfo) -> Capabilities {
-    let max_retry_after = if limits.retry_after { limits.max_retry_after } else { None };
+    let max_retry_after_ms = if limits.retry_after { limits.max_retry_after_ms } else { None };
     Capabilities {
-        cancellation: limits.cancelling,
-        hedging: limits.may_duplicate,
-        health_checks: limits.may_probe,
+        cancellation: limits.cancellation,
+        hedging: limits.hedging,
+        health_checks: limits.health_checks,
         max_attempts: limits.max_attempts,
-        max_retry_after: max_retry_after.map(micros_from_millis),
-        reserve_ahead: family.ahead,
+        max_retry_after: max_retry_after_ms.map(micros_from_millis),
+        reserve_ahead: family.reserve_ahead,
         resume: family.resume,
-        local_prefill: family.local_read,
+        local_prefill: family.local_prefill,
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -24,7 +24,7 @@
 
 fn launched() -> Adapter {
     let mut adapter = Adapter::default();
-    assert_eq!(adapter.batch(launch(OPTIONS).as_bytes()).unwrap(), r#"{"dispatchers":[]}"#);
+    assert_eq!(adapter.handle_batch(launch(OPTIONS).as_bytes()).unwrap(), r#"{"dispatchers":[]}"#);
     adapter
 }
 
@@ -33,20 +33,20 @@
 #[test]
 fn a_call_is_sent_in_milliseconds_and_the_answer_goes_on_to_the_writer() {
     let mut adapter = launched();
-    let reply = adapter.batch(batch(1001.5, CALL).as_bytes()).unwrap();
+    let reply = adapter.handle_batch(batch(1001.5, CALL).as_bytes()).unwrap();
     assert!(reply.contains(r#"{"t":"send","handle":9,"host":1,"tryFor":"#), "{reply}");
     let read = r#"{"t":"reply","handle":9,"roundNo":0,"host":1,"stateCode":"ready_to_answer","took":18.5,"healthInfo":{"x0":0.4,"new":1}}"#;
-    let reply = adapter.batch(batch(1020.0, read).as_bytes()).unwrap();
+    let reply = adapter.handle_batch(batch(1020.0, read).as_bytes()).unwrap();
     assert!(reply.contains(r#"{"t":"send","handle":9,"host":2,"#), "{reply}");
 }
 
 #[test]
 fn a_stopped_instance_forgets_all() {
     let mut adapter = launched();
-    adapter.batch(batch(1001.5, CALL).as_bytes()).unwrap();
+    adapter.handle_batch(batch(1001.5, CALL).as_bytes()).unwrap();
     let restart = batch(1002.0, &format!(r#"{{"t":"destroy"}},{}"#, &event_of(&launch(OPTIONS))));
-    assert_eq!(adapter.batch(restart.as_bytes()).unwrap(), r#"{"dispatchers":[]}"#);
-    let reply = adapter.batch(batch(9000.0, r#"{"t":"reminder","nonce":0}"#).as_bytes()).unwrap();
+    assert_eq!(adapter.handle_batch(restart.as_bytes()).unwrap(), r#"{"dispatchers":[]}"#);
+    let reply = adapter.handle_batch(batch(9000.0, r#"{"t":"reminder","nonce":0}"#).as_bytes()).unwrap();
     assert_eq!(reply, r#"{"dispatchers":[]}"#);
 }
 
@@ -67,20 +67,20 @@
             "unknown class \"c9\"",
         ),
     ] {
-        let fault = launched().batch(batch(1001.0, event).as_bytes()).unwrap_err().to_string();
+        let fault = launched().handle_batch(batch(1001.0, event).as_bytes()).unwrap_err().to_string();
         assert!(fault.contains(word), "{fault}");
     }
-    let fault = launched().batch(b"not JSON").unwrap_err().to_string();
+    let fault = launched().handle_batch(b"not JSON").unwrap_err().to_string();
     assert!(fault.contains("expected"), "{fault}");
 }
 
 #[test]
 fn settings_that_contradict_themselves_are_named_plainly() {
     let no_reader = OPTIONS.replace(r#"["read","write"]"#, r#"["write","write"]"#);
-    let fault = Adapter::default().batch(launch(&no_reader).as_bytes()).unwrap_err().to_string();
+    let fault = Adapter::default().handle_batch(launch(&no_reader).as_bytes()).unwrap_err().to_string();
     assert!(fault.contains("no kind reads prompts"), "{fault}");
     let short = OPTIONS.replace(r#""tokenAim":[60.0]"#, r#""tokenAim":[]"#);
-    let fault = Adapter::default().batch(launch(&short).as_bytes()).unwrap_err().to_string();
+    let fault = Adapter::default().handle_batch(launch(&short).as_bytes()).unwrap_err().to_string();
     assert!(fault.contains("tokenAim has no entry"), "{fault}");
 }
 
