--- /dev/null
+++ b/src/simulator/settings.rs
@@ -0,0 +1,183 @@
+//! Reads the settings object into the scheduler's settings and the names that later messages refer to.
+
+use serde_json::Value;
+
+use super::error::{SettingsError, UnknownName};
+use super::settings_object::{
+    Account, FamilyInfo, Invariants, Lane, MembershipMode, Options, WireIdempotency, WireLimits,
+};
+use super::units::micros_from_millis;
+use crate::scheduler::{
+    Capabilities, ClassId, EndpointKind, Idempotency, KindId, Micros, RequestClass, Role, Rules, Settings,
+    Tenant, TenantId, ZoneId,
+};
+
+/// The names in a settings object, each list in the order of the scheduler's indices.
+#[derive(Clone, Debug, Default)]
+pub struct SettingNames {
+    /// Zones, by [`ZoneId`].
+    pub zones: Vec<String>,
+    /// Kinds of endpoint, by [`KindId`].
+    pub kinds: Vec<String>,
+    /// Classes of request, by [`ClassId`].
+    pub classes: Vec<String>,
+    /// Tenants, by [`TenantId`].
+    pub tenants: Vec<String>,
+}
+
+impl SettingNames {
+    pub(super) fn zone_id(&self, name: &str) -> Result<ZoneId, UnknownName> {
+        position(&self.zones, "zone", name).map(ZoneId)
+    }
+
+    pub(super) fn kind_id(&self, name: &str) -> Result<KindId, UnknownName> {
+        position(&self.kinds, "kind", name).map(KindId)
+    }
+
+    pub(super) fn class_id(&self, name: &str) -> Result<ClassId, UnknownName> {
+        position(&self.classes, "class", name).map(ClassId)
+    }
+
+    pub(super) fn tenant_id(&self, name: &str) -> Result<TenantId, UnknownName> {
+        position(&self.tenants, "tenant", name).map(TenantId)
+    }
+}
+
+fn position(names: &[String], category: &'static str, name: &str) -> Result<usize, UnknownName> {
+    names
+        .iter()
+        .position(|known| known == name)
+        .ok_or_else(|| UnknownName { category, name: name.to_owned() })
+}
+
+/// Reads the settings object that the simulator's first message and a replica's configuration hold.
+///
+/// # Errors
+///
+/// When the object lacks a key, has a value of the wrong type, or contradicts itself.
+pub fn settings_from(options: Value) -> Result<(Settings, SettingNames), SettingsError> {
+    let options: Options = serde_json::from_value(options)?;
+    settings_from_options(&options)
+}
+
+/// As [`settings_from`], for an object that has been parsed.
+pub(super) fn settings_from_options(options: &Options) -> Result<(Settings, SettingNames), SettingsError> {
+    let kinds = endpoint_kinds(&options.kinds, &options.family)?;
+    if options.replicas == 0 {
+        return Err(SettingsError::NoReplicas);
+    }
+    let names = setting_names(options);
+    let settings = Settings {
+        replicas: options.replicas,
+        zone: names.zone_id(&options.zone)?,
+        classes: request_classes(&options.classes, &options.family)?,
+        kinds,
+        tenants: options.tenants.iter().map(tenant).collect(),
+        rules: rules(&options.rules, &options.family),
+        capabilities: capabilities(&options.capabilities, &options.family),
+        watch_endpoint_list: matches!(options.membership_mode, MembershipMode::Watch),
+    };
+    Ok((settings, names))
+}
+
+fn setting_names(options: &Options) -> SettingNames {
+    SettingNames {
+        zones: options.zones.clone(),
+        kinds: options.kinds.clone(),
+        classes: options.classes.iter().map(|class| class.name.clone()).collect(),
+        tenants: options.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+    }
+}
+
+fn tenant(account: &Account) -> Tenant {
+    Tenant { quota_per_s: account.quota_per_s }
+}
+
+/// The kinds of endpoint; some kind must prefill and some kind must decode.
+fn endpoint_kinds(names: &[String], family: &FamilyInfo) -> Result<Vec<EndpointKind>, SettingsError> {
+    let kinds = names
+        .iter()
+        .enumerate()
+        .map(|(index, name)| endpoint_kind(name, index, family))
+        .collect::<Result<Vec<_>, _>>()?;
+    if kinds.iter().all(|kind| kind.role == Role::Decode) {
+        return Err(SettingsError::NoPrefillKind);
+    }
+    if kinds.iter().all(|kind| kind.role == Role::Prefill) {
+        return Err(SettingsError::NoDecodeKind);
+    }
+    Ok(kinds)
+}
+
+fn endpoint_kind(name: &str, index: usize, family: &FamilyInfo) -> Result<EndpointKind, SettingsError> {
+    let role = family.roles.get(index).ok_or_else(|| SettingsError::MissingRole { kind: name.to_owned() })?;
+    let memory_tokens = family.memory_tokens.as_ref().and_then(|tokens| tokens.get(index).copied());
+    Ok(EndpointKind { role: (*role).into(), memory_tokens })
+}
+
+fn request_classes(classes: &[Lane], family: &FamilyInfo) -> Result<Vec<RequestClass>, SettingsError> {
+    classes.iter().enumerate().map(|(index, class)| request_class(class, index, family)).collect()
+}
+
+fn request_class(class: &Lane, index: usize, family: &FamilyInfo) -> Result<RequestClass, SettingsError> {
+    let entry_of_class = |entries: &[f64], key: &'static str| {
+        entries
+            .get(index)
+            .copied()
+            .ok_or_else(|| SettingsError::MissingClassEntry { key, class: class.name.clone() })
+    };
+    let idempotency = idempotency(class)?;
+    let objective_per_1000_prompt_tokens_us =
+        entry_of_class(&family.objectives_per_1000_prompt_tokens_us, "aimUsPer1000PromptTokens")?;
+    let inter_token_objective_ms = entry_of_class(&family.inter_token_objectives_ms, "tokenAim")?;
+    Ok(RequestClass {
+        first_token_objective: micros_from_millis(class.first_token_objective_ms),
+        objective_per_1000_prompt_tokens: objective_per_1000_prompt_tokens_us as Micros,
+        deadline: micros_from_millis(class.deadline_ms),
+        inter_token_objective: micros_from_millis(inter_token_objective_ms),
+        priority_weight: class.priority_weight,
+        late_weight: class.late_weight,
+        idempotency,
+    })
+}
+
+/// What a second execution of the class's requests does. A keyed class must have both a scope and a window.
+fn idempotency(class: &Lane) -> Result<Idempotency, SettingsError> {
+    match class.idempotency {
+        WireIdempotency::Idempotent => Ok(Idempotency::Idempotent),
+        WireIdempotency::NonIdempotent => Ok(Idempotency::NonIdempotent),
+        WireIdempotency::Keyed => {
+            let name = &class.name;
+            let scope = class.scope.ok_or_else(|| SettingsError::MissingScope { class: name.clone() })?;
+            let window_ms =
+                class.window_ms.ok_or_else(|| SettingsError::MissingWindow { class: name.clone() })?;
+            Ok(Idempotency::Keyed { scope: scope.into(), window: micros_from_millis(window_ms) })
+        }
+    }
+}
+
+fn rules(rules: &Invariants, family: &FamilyInfo) -> Rules {
+    Rules {
+        answer_slack: micros_from_millis(rules.answer_slack_ms),
+        drain_grace: micros_from_millis(rules.drain_grace_ms),
+        overload_multiple: rules.overload_multiple,
+        overload_window: micros_from_millis(rules.overload_window_ms),
+        slow_start_duration: micros_from_millis(rules.slow_start_duration_ms),
+        initial_capacity: rules.initial_capacity,
+        reservation_limit: micros_from_millis(family.reservation_limit_ms),
+    }
+}
+
+fn capabilities(limits: &WireLimits, family: &FamilyInfo) -> Capabilities {
+    let max_retry_after_ms = if limits.retry_after { limits.max_retry_after_ms } else { None };
+    Capabilities {
+        cancellation: limits.cancellation,
+        hedging: limits.hedging,
+        health_checks: limits.health_checks,
+        max_attempts: limits.max_attempts,
+        max_retry_after: max_retry_after_ms.map(micros_from_millis),
+        reserve_ahead: family.reserve_ahead,
+        resume: family.resume,
+        local_prefill: family.local_prefill,
+    }
+}
