--- a/src/upstream/connection_pool.rs
+++ b/src/upstream/connection_pool.rs
@@ -1,75 +1,43 @@
-//! Connections to endpoints: opened as needed, one request at a time on each, kept while fresh.
+//! The connections to one fleet: opened as needed, one request at a time on each, reused for a short time.
 
 use std::cell::{Cell, RefCell};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
-use std::convert::Infallible;
-use std::io;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::task::{Context, Poll};
 use std::time::Duration;
 
-use bytes::Bytes;
-use hyper::body::{Body, Frame, SizeHint};
-use hyper::client::conn::http1::{self, SendRequest};
-use hyper_util::rt::TokioIo;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
-use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
-use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::metrics::Counters;
 use crate::scheduler::{EndpointId, Role};
+use crate::upstream::connect::{ConnectError, Connection, connect};
+use crate::upstream::idle_connections::IdleConnections;
 
-/// Longest that a connection stands idle before it is closed, whatever the settings say: machines have been seen to
-/// close theirs after 4 s where the settings say 30, and a request that crosses the close ends as a reset.
-const IDLE_LONGEST: Duration = Duration::from_secs(2);
-/// For which a connection must have been quiet before it is used again: within this a close right after an answer, or
-/// bytes behind it that belong to no request, have shown.
-const SETTLED: Duration = Duration::from_millis(100);
-/// For which a connection is trusted to reach its endpoint after the last answer on it. Machines vanish without a word,
-/// and what is sent to them has not arrived.
-const TRUSTED: Duration = Duration::from_millis(250);
-/// Idle connections kept for each endpoint: a usual burst to one, far under its limit.
-const IDLE_MOST: usize = 24;
-/// Read buffer of a connection; events are far smaller. With the pieces that wait for a slow reader it bounds what
-/// one stream may hold.
-const BUFFER: usize = 16 * 1024;
+/// Longest time for which an idle connection is kept, whatever the settings say. Endpoints have been seen to
+/// close theirs after 4 s where the settings say 30 s, and a request that crosses the close ends as a reset.
+const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Between tries of a connection that this machine fails to make.
-const LOCAL_RETRY: Duration = Duration::from_millis(10);
+/// Longest time since the last response on a connection for which it counts as verified to reach its
+/// endpoint. Machines vanish without closing their connections, and what is sent to them then does not
+/// arrive.
+const MAX_VERIFIED_IDLE: Duration = Duration::from_millis(250);
 
-/// Why there is no connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ConnectError {
-    /// The endpoint refused it, or it did not come up in time.
-    #[error("the endpoint cannot be reached")]
-    Endpoint,
-    /// This machine could not make it: it has no socket, no room or no route for it. The endpoint is not to blame.
-    #[error("this machine cannot open a connection")]
-    Local,
-}
-
-/// Whether a connect failed by an answer, or the want of one, from the other side.
-fn by_other_side(error: &io::Error) -> bool {
-    use io::ErrorKind::{ConnectionAborted, ConnectionRefused, ConnectionReset, HostUnreachable, TimedOut};
-    matches!(
-        error.kind(),
-        ConnectionAborted | ConnectionRefused | ConnectionReset | HostUnreachable | TimedOut
-    )
-}
+/// Idle connections are checked so many times within the idle timeout, so they outlive it by an eighth at
+/// most.
+const EVICTIONS_PER_IDLE_TIMEOUT: u32 = 8;
 
 /// What the pool may use.
 #[derive(Clone, Debug)]
 pub struct PoolLimits {
-    /// A connection not made within this is none.
+    /// Longest time for a connection to come up, and for the wait for room to open it.
     pub connect_timeout: Duration,
-    /// A connection idle for longer is not used again: the endpoint is about to close it.
+    /// Longest time for which a connection may be idle and still be used again: the endpoint is about to
+    /// close it.
     pub idle_timeout: Duration,
-    /// Most connections at once.
+    /// Most connections at once, to all endpoints together.
     pub max_connections: usize,
 }
 
@@ -84,314 +52,190 @@
     pub ready: bool,
 }
 
-#[derive(Default)]
-struct EndpointConnections {
-    site: Option<EndpointAddress>,
-    idle: Vec<Connection>,
-    heard: Option<Instant>,
-}
-
-/// How far a request has been written.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Written {
-    #[default]
-    No,
-    /// The last byte was handed to the connection's buffer.
-    Handed,
-    /// The buffer with the last byte was flushed to the socket.
-    Yes,
-}
-
-/// Tells whether a request's last byte has been written to the socket.
-#[derive(Clone, Default)]
-pub struct WriteProgress(Rc<Cell<Written>>);
-
-impl WriteProgress {
-    /// Whether the last byte was written.
-    pub fn written(&self) -> bool {
-        self.0.get() == Written::Yes
-    }
-}
-
-/// A request body in one piece that marks when it has been handed over.
-pub struct TrackedBody {
-    data: Option<Bytes>,
-    mark: WriteProgress,
-}
-
-impl Body for TrackedBody {
-    type Data = Bytes;
-    type Error = Infallible;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>, _: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.mark.0.set(Written::Handed);
-        Poll::Ready(self.data.take().map(|data| Ok(Frame::data(data))))
-    }
-
-    fn is_end_stream(&self) -> bool {
-        self.data.is_none()
-    }
-
-    fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.data.as_ref().map_or(0, |d| d.len() as u64))
-    }
-}
-
-/// A socket that notes when a handed-over body has left the library's buffer: hyper flushes the socket only
-/// once its own buffer is empty. An attempt whose last byte was never written is known never to have run.
-struct TrackedStream {
-    socket: TcpStream,
-    mark: WriteProgress,
+/// What the pool has of one endpoint.
+struct PooledEndpoint {
+    address: EndpointAddress,
+    idle: IdleConnections,
+    /// When a connection to the endpoint was last put back; none while it is doubtful that the endpoint responds.
+    last_response_at: Option<Instant>,
 }
 
-impl AsyncRead for TrackedStream {
-    fn poll_read(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_read(cx, buf)
-    }
-}
-
-impl AsyncWrite for TrackedStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.socket).poll_write(cx, data)
-    }
-
-    fn poll_write_vectored(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.socket).poll_write_vectored(cx, data)
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        self.socket.is_write_vectored()
+impl PooledEndpoint {
+    fn new(address: EndpointAddress) -> Self {
+        PooledEndpoint { address, idle: IdleConnections::default(), last_response_at: None }
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let flushed = Pin::new(&mut self.socket).poll_flush(cx);
-        if matches!(flushed, Poll::Ready(Ok(()))) && self.mark.0.get() == Written::Handed {
-            self.mark.0.set(Written::Yes);
-        }
-        flushed
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_shutdown(cx)
-    }
-}
-
-/// One connection to an endpoint. Dropping it closes the socket at once.
-pub struct Connection {
-    sender: SendRequest<TrackedBody>,
-    mark: WriteProgress,
-    driver: AbortHandle,
-    since: Instant,
-    fresh: bool,
-}
-
-impl Drop for Connection {
-    fn drop(&mut self) {
-        self.driver.abort();
-    }
-}
-
-impl Connection {
-    /// A body for the next request on this connection, and the mark that tells when it is written.
-    pub fn body(&self, data: Bytes) -> (TrackedBody, WriteProgress) {
-        self.mark.0.set(Written::No);
-        (
-            TrackedBody { data: Some(data).filter(|d| !d.is_empty()), mark: self.mark.clone() },
-            self.mark.clone(),
-        )
-    }
-
-    /// The sending half.
-    pub fn sender(&mut self) -> &mut SendRequest<TrackedBody> {
-        &mut self.sender
-    }
-
-    /// Whether it was opened for the present request.
-    pub fn fresh(&self) -> bool {
-        self.fresh
-    }
-}
-
-/// Connects; what this machine fails to do for a moment is tried again.
-async fn connect(addr: SocketAddr, waits_for: &Cell<ConnectError>) -> Result<TcpStream, ConnectError> {
-    loop {
-        waits_for.set(ConnectError::Endpoint);
-        match TcpStream::connect(addr).await {
-            Ok(socket) => return Ok(socket),
-            Err(error) if by_other_side(&error) => return Err(ConnectError::Endpoint),
-            Err(error) => {
-                tracing::debug!(address = %addr, %error, "cannot open a connection from this machine");
-                waits_for.set(ConnectError::Local);
-                sleep(LOCAL_RETRY).await;
-            }
+    /// Replaces the address. Idle connections to another socket address are of no use.
+    fn set_address(&mut self, address: EndpointAddress) {
+        if self.address.addr != address.addr {
+            self.idle.close_all();
         }
+        self.address = address;
     }
 }
 
 /// All connections to one fleet.
 pub struct ConnectionPool {
-    by_endpoint: RefCell<BTreeMap<EndpointId, EndpointConnections>>,
+    by_endpoint: RefCell<BTreeMap<EndpointId, PooledEndpoint>>,
     limits: PoolLimits,
-    room: Arc<Semaphore>,
+    /// One permit for each connection that may still be opened.
+    permits: Arc<Semaphore>,
     counters: Rc<Counters>,
 }
 
 impl ConnectionPool {
     /// An empty pool.
     pub fn new(mut limits: PoolLimits, counters: Rc<Counters>) -> Self {
-        limits.idle_timeout = limits.idle_timeout.min(IDLE_LONGEST);
-        let room = Arc::new(Semaphore::new(limits.max_connections));
-        ConnectionPool { by_endpoint: RefCell::default(), limits, room, counters }
+        limits.idle_timeout = limits.idle_timeout.min(MAX_IDLE_TIMEOUT);
+        let permits = Arc::new(Semaphore::new(limits.max_connections));
+        ConnectionPool { by_endpoint: RefCell::default(), limits, permits, counters }
     }
 
-    /// Takes in where an endpoint listens, or that it is gone. A new address makes old connections useless.
-    pub fn set_address(&self, endpoint: EndpointId, site: Option<EndpointAddress>) {
+    /// Records where an endpoint listens, or with `None` that it is removed, which closes its idle
+    /// connections.
+    pub fn set_address(&self, endpoint: EndpointId, address: Option<EndpointAddress>) {
         let mut by_endpoint = self.by_endpoint.borrow_mut();
-        let Some(site) = site else { return drop(by_endpoint.remove(&endpoint)) };
-        let entry = by_endpoint.entry(endpoint).or_default();
-        if entry.site.as_ref().is_none_or(|old| old.addr != site.addr) {
-            entry.idle.clear();
+        let Some(address) = address else {
+            by_endpoint.remove(&endpoint);
+            return;
+        };
+        if let Some(known) = by_endpoint.get_mut(&endpoint) {
+            known.set_address(address);
+        } else {
+            by_endpoint.insert(endpoint, PooledEndpoint::new(address));
         }
-        entry.site = Some(site);
     }
 
-    /// Where an endpoint listens.
+    /// Where an endpoint listens, if it is known.
     pub fn address(&self, endpoint: EndpointId) -> Option<EndpointAddress> {
-        self.by_endpoint.borrow().get(&endpoint)?.site.clone()
+        let by_endpoint = self.by_endpoint.borrow();
+        by_endpoint.get(&endpoint).map(|known| known.address.clone())
     }
 
-    /// The endpoints known.
+    /// The known endpoints, in the order of their ids.
     pub fn endpoints(&self) -> Vec<EndpointId> {
         self.by_endpoint.borrow().keys().copied().collect()
     }
 
-    /// Ready endpoints, the by_reachability to answer first: those with a connection at hand, last heard from first.
+    /// The ready endpoints, the likeliest to respond first: those with an idle connection before those
+    /// without, and among them the latest response first.
     pub fn by_reachability(&self) -> Vec<EndpointId> {
         let by_endpoint = self.by_endpoint.borrow();
-        let ready = by_endpoint.iter().filter(|(_, s)| s.site.as_ref().is_some_and(|site| site.ready));
-        let mut endpoints: Vec<_> = ready.map(|(&id, s)| (s.idle.is_empty(), s.heard, id)).collect();
-        endpoints.sort_by(|a, b| (a.0, b.1).cmp(&(b.0, a.1)));
-        endpoints.into_iter().map(|(_, _, id)| id).collect()
+        let mut ready: Vec<_> = by_endpoint.iter().filter(|(_, known)| known.address.ready).collect();
+        ready.sort_by_key(|(_, known)| (known.idle.is_empty(), Reverse(known.last_response_at)));
+        ready.into_iter().map(|(endpoint, _)| *endpoint).collect()
     }
 
-    /// A connection to the endpoint: an idle one that still stands, else a new one.
+    /// A connection to the endpoint: an idle one that is still open, else a new one.
+    ///
+    /// # Errors
+    ///
+    /// Says whether the endpoint or this machine is to blame when no connection is there within the connect
+    /// timeout.
     pub async fn connection(&self, endpoint: EndpointId) -> Result<Connection, ConnectError> {
-        self.connection_heard_within(endpoint, self.limits.idle_timeout).await
+        self.connection_idle_for_at_most(endpoint, self.limits.idle_timeout).await
     }
 
-    /// A connection on which what is sent arrives, as far as can be known: one that answered just now, else a new one,
-    /// whose handshake is an answer too.
+    /// A connection on which what is sent arrives, as far as can be known: one with a response a moment ago,
+    /// else a new one, whose handshake is a response too.
+    ///
+    /// # Errors
+    ///
+    /// As for [`connection`](Self::connection).
     pub async fn verified_connection(&self, endpoint: EndpointId) -> Result<Connection, ConnectError> {
-        self.connection_heard_within(endpoint, TRUSTED).await
+        self.connection_idle_for_at_most(endpoint, MAX_VERIFIED_IDLE).await
     }
 
-    async fn connection_heard_within(
-        &self, endpoint: EndpointId, within: Duration,
+    async fn connection_idle_for_at_most(
+        &self, endpoint: EndpointId, max_idle: Duration,
     ) -> Result<Connection, ConnectError> {
-        while let Some(mut kept) = self.take_idle(endpoint, within) {
-            // Guards against a connection that the endpoint has closed: the driver knows at once.
-            if kept.sender.ready().await.is_ok() {
+        while let Some(mut idle) = self.take_idle(endpoint, max_idle) {
+            if idle.reuse().await {
                 self.counters.reuses.increment();
-                kept.fresh = false;
-                return Ok(kept);
+                return Ok(idle);
             }
         }
         let addr = self.address(endpoint).ok_or(ConnectError::Endpoint)?.addr;
-        // Whom it waits for, and so who is to blame if the wait takes too long.
-        let waits_for = Cell::new(ConnectError::Local);
-        let opened = timeout(self.limits.connect_timeout, self.open(addr, &waits_for)).await;
-        opened.unwrap_or(Err(waits_for.get()))
+        let timeout_cause = Cell::new(ConnectError::Local);
+        let opened = timeout(self.limits.connect_timeout, self.open(addr, &timeout_cause)).await;
+        opened.unwrap_or_else(|_elapsed| Err(timeout_cause.get()))
     }
 
-    fn take_idle(&self, endpoint: EndpointId, within: Duration) -> Option<Connection> {
+    fn take_idle(&self, endpoint: EndpointId, max_idle: Duration) -> Option<Connection> {
         let mut by_endpoint = self.by_endpoint.borrow_mut();
         let idle = &mut by_endpoint.get_mut(&endpoint)?.idle;
-        idle.retain(|c| c.since.elapsed() < self.limits.idle_timeout && !c.sender.is_closed());
-        let settled = idle.iter().rposition(|c| (SETTLED..=within).contains(&c.since.elapsed()))?;
-        Some(idle.remove(settled))
+        idle.evict(self.limits.idle_timeout);
+        idle.take_settled(max_idle)
     }
 
     async fn open(
-        &self, addr: SocketAddr, waits_for: &Cell<ConnectError>,
+        &self, addr: SocketAddr, timeout_cause: &Cell<ConnectError>,
     ) -> Result<Connection, ConnectError> {
         let permit = self.permit().await?;
-        let socket = connect(addr, waits_for).await?;
-        let _ = socket.set_nodelay(true);
-        let mark = WriteProgress::default();
-        let io = TokioIo::new(TrackedStream { socket, mark: mark.clone() });
-        let made = http1::Builder::new().max_buf_size(BUFFER).handshake(io).await;
-        let (sender, connection) = made.map_err(|_| ConnectError::Endpoint)?;
+        let socket = connect(addr, timeout_cause).await?;
+        let connection = Connection::handshake(socket, permit).await?;
         self.counters.connects.increment();
-        let driver = tokio::task::spawn_local(async move {
-            let _permit: OwnedSemaphorePermit = permit;
-            // Its end shows at the request that used it.
-            let _ = connection.await;
-        });
-        Ok(Connection { sender, mark, driver: driver.abort_handle(), since: Instant::now(), fresh: true })
+        Ok(connection)
     }
 
-    /// Room for one more connection, made by closing the oldest idle one if need be.
+    /// A permit for one more connection, freed by closing the connection that is idle longest if need be.
     async fn permit(&self) -> Result<OwnedSemaphorePermit, ConnectError> {
-        if let Ok(permit) = self.room.clone().try_acquire_owned() {
+        if let Ok(permit) = self.permits.clone().try_acquire_owned() {
             return Ok(permit);
         }
-        let oldest = {
-            let mut by_endpoint = self.by_endpoint.borrow_mut();
-            let idle = by_endpoint.values_mut().filter(|s| !s.idle.is_empty());
-            idle.min_by_key(|s| s.idle[0].since).map(|s| s.idle.remove(0))
-        };
-        drop(oldest);
-        self.room.clone().acquire_owned().await.map_err(|_| ConnectError::Local)
+        self.close_oldest_idle();
+        self.permits.clone().acquire_owned().await.map_err(|_| ConnectError::Local)
     }
 
-    /// Keeps a connection on which an exchange has ended whole.
-    pub fn put_back(&self, endpoint: EndpointId, mut connection: Connection) {
+    fn close_oldest_idle(&self) {
         let mut by_endpoint = self.by_endpoint.borrow_mut();
-        let Some(entry) = by_endpoint.get_mut(&endpoint) else { return };
-        let now = Instant::now();
-        entry.heard = Some(now);
-        if !connection.sender.is_closed() && entry.site.is_some() && entry.idle.len() < IDLE_MOST {
-            connection.since = now;
-            entry.idle.push(connection);
+        let with_idle = by_endpoint.values_mut().filter(|known| !known.idle.is_empty());
+        if let Some(oldest) = with_idle.min_by_key(|known| known.idle.oldest_since()) {
+            oldest.idle.close_oldest();
         }
     }
 
+    /// Keeps a connection for reuse on which an exchange has ended completely, or on which none was begun.
+    pub fn put_back(&self, endpoint: EndpointId, connection: Connection) {
+        let mut by_endpoint = self.by_endpoint.borrow_mut();
+        let Some(known) = by_endpoint.get_mut(&endpoint) else { return };
+        let now = Instant::now();
+        known.last_response_at = Some(now);
+        known.idle.keep(connection, now);
+    }
+
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointId) {
-        if let Some(entry) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
-            entry.idle.clear();
+        if let Some(known) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
+            known.idle.close_all();
         }
     }
 
-    /// Forgets when the endpoint was last heard: something there went silent, and its idle connections may be dead.
+    /// Closes the idle connections to an endpoint and forgets its last response: a connection to it failed or
+    /// went silent, and these may be dead as well.
     pub fn invalidate(&self, endpoint: EndpointId) {
-        if let Some(entry) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
-            entry.idle.clear();
-            entry.heard = None;
+        if let Some(known) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
+            known.idle.close_all();
+            known.last_response_at = None;
         }
     }
 
-    /// Something at the endpoint has been silent since then. Unless another exchange was heard meanwhile, its idle
-    /// connections may be as dead.
-    pub fn invalidate_if_unheard_since(&self, endpoint: EndpointId, since: Instant) {
-        let heard = self.by_endpoint.borrow().get(&endpoint).and_then(|s| s.heard);
-        if heard.is_none_or(|at| at < since) {
+    /// [Invalidates](Self::invalidate) an endpoint of which one connection has been silent since
+    /// `silent_since`, unless another connection to it was put back since.
+    pub fn invalidate_if_unheard_since(&self, endpoint: EndpointId, silent_since: Instant) {
+        let last_response_at =
+            self.by_endpoint.borrow().get(&endpoint).and_then(|known| known.last_response_at);
+        if last_response_at.is_none_or(|at| at < silent_since) {
             self.invalidate(endpoint);
         }
     }
 
-    /// Closes what has stood idle too long, for ever.
+    /// Closes, for ever, what has been idle for too long.
     pub async fn run_idle_eviction(&self) {
         loop {
-            tokio::time::sleep(self.limits.idle_timeout / 8).await;
-            for entry in self.by_endpoint.borrow_mut().values_mut() {
-                entry.idle.retain(|c| c.since.elapsed() < self.limits.idle_timeout && !c.sender.is_closed());
+            sleep(self.limits.idle_timeout / EVICTIONS_PER_IDLE_TIMEOUT).await;
+            for known in self.by_endpoint.borrow_mut().values_mut() {
+                known.idle.evict(self.limits.idle_timeout);
             }
         }
     }
--- a/src/upstream/event_stream.rs
+++ b/src/upstream/event_stream.rs
@@ -15,7 +15,8 @@
 
 use crate::request::relay::StreamBroken;
 use crate::scheduler::{EndpointId, Outcome};
-use crate::upstream::connection_pool::{Connection, ConnectionPool};
+use crate::upstream::connect::Connection;
+use crate::upstream::connection_pool::ConnectionPool;
 
 /// Time without an event after which a running stream is taken for dead. Clients are not to wait 5 s for nothing.
 const SILENCE: Duration = Duration::from_millis(4_300);
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -12,9 +12,11 @@
 
 use crate::metrics::Counters;
 use crate::scheduler::{EndpointId, LoadReport, Micros, Outcome, Role};
-use crate::upstream::connection_pool::{ConnectError, Connection, ConnectionPool, WriteProgress};
+use crate::upstream::connect::{ConnectError, Connection};
+use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::event_stream::EventStream;
 use crate::upstream::send_gate::{AttemptDeadlines, SendDenied, SendGate};
+use crate::upstream::write_progress::WriteProgress;
 
 /// Header by which endpoints recognise repeats of a request.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -162,7 +164,7 @@
             Ok(first) => first,
             Err(_) => {
                 self.pool.invalidate_if_unheard_since(endpoint, begun);
-                let ran = written.is_some_and(|mark: WriteProgress| mark.written());
+                let ran = written.is_some_and(|mark: WriteProgress| mark.is_flushed());
                 (
                     AttemptResponse::Finished(if ran { Outcome::TimedOut } else { Outcome::ConnectFailed }),
                     None,
@@ -192,7 +194,8 @@
                     return ended(if moot { Outcome::Abandoned } else { Outcome::NotSent });
                 }
             };
-            let (body, mark) = connection.body(payload.body.clone());
+            let body = connection.body(payload.body.clone());
+            let mark = body.progress();
             *written = Some(mark.clone());
             let mut request = Request::new(body);
             self.head(endpoint, payload, times.response_deadline, &mut request);
@@ -201,9 +204,9 @@
                 // The library gives back a request of which it has written nothing; only then, and only for a
                 // kept connection that had just closed, is another one used. Nothing is ever sent twice.
                 Err(mut error) => {
-                    let untouched = error.take_message().is_some() && !mark.written();
-                    if !untouched || connection.fresh() {
-                        return ended(match (mark.written(), error.error().is_parse()) {
+                    let untouched = error.take_message().is_some() && !mark.is_flushed();
+                    if !untouched || !connection.is_reused() {
+                        return ended(match (mark.is_flushed(), error.error().is_parse()) {
                             (false, _) => Outcome::ConnectFailed,
                             (true, true) => Outcome::Malformed,
                             (true, false) => Outcome::ConnectionLost,
@@ -298,7 +301,7 @@
     /// A call without a body: its answer with the body read, while an answer of any kind came.
     async fn call(&self, endpoint: EndpointId, method: Method, path: &str) -> Option<Response<Bytes>> {
         let mut connection = self.pool.connection(endpoint).await.ok()?;
-        let (body, _) = connection.body(Bytes::new());
+        let body = connection.body(Bytes::new());
         let mut request = Request::builder().method(method).uri(path).body(body).ok()?;
         self.host_header(endpoint, request.headers_mut());
         let response = connection.sender().try_send_request(request).await.ok()?;
--- /dev/null
+++ b/src/upstream/write_progress.rs
@@ -0,0 +1,145 @@
+//! How far a request has been written: an attempt whose last byte was never written is known never to have
+//! run.
+
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+/// How far the last byte of a request has come.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum WriteState {
+    /// The body has not been handed to hyper.
+    #[default]
+    Pending,
+    /// The last byte is in hyper's write buffer.
+    Buffered,
+    /// The buffer with the last byte was flushed to the socket.
+    Flushed,
+}
+
+/// Shows whether the last byte of a connection's current request has been written to the socket.
+///
+/// Clones share one state: the request's body and the connection's socket advance it, the attempt reads it.
+#[derive(Clone, Default)]
+pub struct WriteProgress(Rc<Cell<WriteState>>);
+
+impl WriteProgress {
+    /// Whether the last byte was written to the socket.
+    pub fn is_flushed(&self) -> bool {
+        self.0.get() == WriteState::Flushed
+    }
+
+    /// Starts over for the next request on the same connection.
+    fn reset(&self) {
+        self.0.set(WriteState::Pending);
+    }
+
+    fn body_buffered(&self) {
+        self.0.set(WriteState::Buffered);
+    }
+
+    /// hyper flushes the socket only once its own buffer is empty, so a flush after the body was handed over
+    /// has written the last byte.
+    fn socket_flushed(&self) {
+        if self.0.get() == WriteState::Buffered {
+            self.0.set(WriteState::Flushed);
+        }
+    }
+}
+
+/// A request body in one piece that records when it has been handed to hyper.
+pub struct TrackedBody {
+    data: Option<Bytes>,
+    progress: WriteProgress,
+}
+
+impl TrackedBody {
+    /// The body of the next request on the connection that `progress` belongs to.
+    pub(super) fn new(data: Bytes, progress: WriteProgress) -> Self {
+        progress.reset();
+        let data = if data.is_empty() { None } else { Some(data) };
+        TrackedBody { data, progress }
+    }
+
+    /// Shows how far this body has been written.
+    pub fn progress(&self) -> WriteProgress {
+        self.progress.clone()
+    }
+}
+
+impl Body for TrackedBody {
+    type Data = Bytes;
+    type Error = Infallible;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>, _: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
+        self.progress.body_buffered();
+        Poll::Ready(self.data.take().map(|data| Ok(Frame::data(data))))
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.data.is_none()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        SizeHint::with_exact(self.data.as_ref().map_or(0, |data| data.len() as u64))
+    }
+}
+
+/// A socket that records when a body that was handed to hyper has been flushed.
+pub(super) struct TrackedStream {
+    socket: TcpStream,
+    progress: WriteProgress,
+}
+
+impl TrackedStream {
+    /// Records the flushes of `socket` in `progress`.
+    pub(super) fn new(socket: TcpStream, progress: WriteProgress) -> Self {
+        TrackedStream { socket, progress }
+    }
+}
+
+impl AsyncRead for TrackedStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_read(cx, buf)
+    }
+}
+
+impl AsyncWrite for TrackedStream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.socket).poll_write(cx, data)
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.socket).poll_write_vectored(cx, data)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.socket.is_write_vectored()
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let flushed = Pin::new(&mut self.socket).poll_flush(cx);
+        if matches!(flushed, Poll::Ready(Ok(()))) {
+            self.progress.socket_flushed();
+        }
+        flushed
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_shutdown(cx)
+    }
+}
