--- a/src/upstream/release.rs
+++ b/src/upstream/release.rs
@@ -1,4 +1,4 @@
-//! Letting go of what is held for a request at the endpoints.
+//! Releasing what is reserved for a request at the endpoints.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -10,67 +10,99 @@
 use crate::scheduler::EndpointId;
 use crate::upstream::exchange::Upstream;
 
-/// For an endpoint to take the call before another one is asked beside it. The module has used most of the pin limit
-/// when it asks, so a silent endpoint must not use up the rest.
-const EACH: Duration = Duration::from_millis(50);
-/// For an endpoint to take the call at all.
-const CALL: Duration = Duration::from_millis(400);
-/// After which a release is given up: what is held has been held far too long by then.
-const GIVEN_UP: Duration = Duration::from_secs(3);
+/// Time for an endpoint to accept the call before the next endpoint is called beside it. The scheduler has
+/// used most of the reservation limit when it orders a release, so a silent endpoint must not use up what
+/// remains.
+const NEXT_ENDPOINT_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Longest time for one endpoint to accept the call. Calls to several endpoints overlap, so it may be far
+/// longer than the interval between them.
+const RELEASE_CALL_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Time after which a release is abandoned: the reservation has exceeded its limit by far by then.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// How one call ended.
+struct CallResult {
+    endpoint: EndpointId,
+    accepted: bool,
+}
 
 /// The calls of one release. Dropping them closes their connections.
-struct Calls {
+struct ReleaseCalls {
     upstream: Rc<Upstream>,
-    id: Rc<str>,
-    open: JoinSet<(EndpointId, bool)>,
-    to_ask: VecDeque<EndpointId>,
+    request_id: Rc<str>,
+    in_flight: JoinSet<CallResult>,
+    /// The endpoints still to be called in this round.
+    remaining: VecDeque<EndpointId>,
 }
 
-impl Calls {
-    /// Asks the next endpoint, the by_reachability to answer first; all of them again once each has been asked.
-    fn ask_next(&mut self) {
-        if self.to_ask.is_empty() {
-            self.to_ask = self.upstream.pool().by_reachability().into();
+impl ReleaseCalls {
+    fn new(upstream: Rc<Upstream>, request_id: Rc<str>) -> Self {
+        ReleaseCalls { upstream, request_id, in_flight: JoinSet::new(), remaining: VecDeque::new() }
+    }
+
+    /// Calls the next endpoint, the likeliest to respond first; after the last one a new round begins.
+    fn call_next(&mut self) {
+        if self.remaining.is_empty() {
+            self.remaining = self.upstream.pool().by_reachability().into();
         }
-        let Some(endpoint) = self.to_ask.pop_front() else { return };
-        let (upstream, id) = (self.upstream.clone(), self.id.clone());
-        self.open.spawn_local(async move {
-            let taken = timeout(CALL, upstream.release_at(endpoint, &id)).await.unwrap_or(false);
-            if !taken {
-                upstream.pool().invalidate(endpoint);
-            }
-            (endpoint, taken)
-        });
+        let Some(endpoint) = self.remaining.pop_front() else { return };
+        self.in_flight.spawn_local(call(self.upstream.clone(), endpoint, self.request_id.clone()));
     }
 
-    /// Waits until an endpoint has taken the call, or has failed to; none if all are still open.
-    async fn ended(&mut self, until: Instant) -> Option<(EndpointId, bool)> {
+    /// Waits until `deadline` for the next call to end; none if none has by then.
+    async fn next_result(&mut self, deadline: Instant) -> Option<CallResult> {
         tokio::select! {
-            Some(ended) = self.open.join_next() => ended.ok(),
-            () = sleep_until(until) => None,
+            Some(result) = self.in_flight.join_next() => result.ok(),
+            () = sleep_until(deadline) => None,
         }
     }
-}
 
-/// Releases all that is held for the request. Any endpoint takes the call; one that cannot be reached is passed over,
-/// and beside one that is silent the next is asked.
-pub async fn release(upstream: Rc<Upstream>, id: Rc<str>) {
-    let until = Instant::now() + GIVEN_UP;
-    let mut calls = Calls { upstream, id, open: JoinSet::new(), to_ask: VecDeque::new() };
-    while Instant::now() < until {
-        calls.ask_next();
-        let next = Instant::now() + EACH;
-        while let Some((endpoint, taken)) = calls.ended(next).await {
-            if taken {
-                tracing::debug!(request_id = %calls.id, endpoint = endpoint.0, "reservation released");
-                return calls.upstream.counters().releases.increment();
+    /// Whether no call is in flight although the round is not over.
+    fn can_proceed_at_once(&self) -> bool {
+        self.in_flight.is_empty() && !self.remaining.is_empty()
+    }
+
+    /// Waits until `deadline`, or until the next endpoint should be called, for an endpoint to accept the
+    /// call.
+    async fn accepted_by(&mut self, deadline: Instant) -> Option<EndpointId> {
+        while let Some(result) = self.next_result(deadline).await {
+            if result.accepted {
+                return Some(result.endpoint);
             }
-            // Nobody is asked just now: the next one is at once, but for a pause between two rounds.
-            if calls.open.is_empty() && !calls.to_ask.is_empty() {
-                break;
+            // A pause follows only between two rounds.
+            if self.can_proceed_at_once() {
+                return None;
             }
         }
+        None
+    }
+}
+
+async fn call(upstream: Rc<Upstream>, endpoint: EndpointId, request_id: Rc<str>) -> CallResult {
+    let release = upstream.release_at(endpoint, &request_id);
+    let accepted = timeout(RELEASE_CALL_TIMEOUT, release).await.unwrap_or(false);
+    if !accepted {
+        upstream.pool().invalidate(endpoint);
+    }
+    CallResult { endpoint, accepted }
+}
+
+/// Releases all that is reserved for the request. Any endpoint accepts the call for all of them: one that
+/// cannot be reached is passed over, and beside one that is silent the next is called.
+pub async fn release(upstream: Rc<Upstream>, request_id: Rc<str>) {
+    let deadline = Instant::now() + RELEASE_TIMEOUT;
+    let mut calls = ReleaseCalls::new(upstream, request_id);
+    while Instant::now() < deadline {
+        calls.call_next();
+        let next_call_at = Instant::now() + NEXT_ENDPOINT_INTERVAL;
+        if let Some(endpoint) = calls.accepted_by(next_call_at).await {
+            tracing::debug!(request_id = %calls.request_id, endpoint = endpoint.0, "reservation released");
+            calls.upstream.counters().releases.increment();
+            return;
+        }
     }
     calls.upstream.counters().releases_lost.increment();
-    tracing::warn!(request_id = %calls.id, "reservation not released: no endpoint took the call");
+    tracing::warn!(request_id = %calls.request_id, "reservation not released: no endpoint took the call");
 }
