--- a/src/upstream/event_stream.rs
+++ b/src/upstream/event_stream.rs
@@ -1,31 +1,31 @@
-//! A running answer, passed on in whole events: what an endpoint malforms is told from what it means.
+//! A response that streams from an endpoint: passed on in complete events, and failing visibly when it breaks.
 
 use std::error::Error;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::{Bytes, BytesMut};
+use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::StatusCode;
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
-use serde::Deserialize;
 use tokio::time::{Instant, timeout_at};
 
 use crate::request::relay::StreamBroken;
 use crate::scheduler::{EndpointId, Outcome};
 use crate::upstream::connect::Connection;
 use crate::upstream::connection_pool::ConnectionPool;
+use crate::upstream::event_framer::{EventFormat, EventFramer, MalformedEvents};
 
-/// Time without an event after which a running stream is taken for dead. Clients are not to wait 5 s for nothing.
-const SILENCE: Duration = Duration::from_millis(4_300);
-/// The content type of a stream, without parameters.
-const EVENT_STREAM: &[u8] = b"text/event-stream";
-/// Longest event; one that does not end is not an event.
-const EVENT_MOST: usize = 64 * 1024;
+/// Longest time without an event on a running stream, after which its endpoint counts as dead. It is below
+/// the 5 s for which clients may be left without an event.
+const MAX_SILENCE: Duration = Duration::from_millis(4_300);
 
-/// What an endpoint says that its answer is; the core carries it to the front.
+/// The content type of a stream of events, without parameters.
+const EVENT_STREAM_TYPE: &[u8] = b"text/event-stream";
+
+/// What an endpoint says that its response is; carried to the client without a look inside.
 #[derive(Clone, Debug)]
 pub struct ContentKind {
     /// The status.
@@ -35,218 +35,168 @@
 }
 
 impl ContentKind {
-    /// Whether it comes as a stream of events.
+    /// The kind that a response's head gives.
+    pub(super) fn of(status: StatusCode, headers: &HeaderMap) -> Self {
+        ContentKind { status, content_type: headers.get(CONTENT_TYPE).cloned() }
+    }
+
+    /// Whether the response is a stream of events.
     pub fn is_event_stream(&self) -> bool {
-        let kind = self.content_type.as_ref().and_then(|value| value.as_bytes().get(..EVENT_STREAM.len()));
-        kind.is_some_and(|kind| kind.eq_ignore_ascii_case(EVENT_STREAM))
+        let Some(content_type) = &self.content_type else { return false };
+        let media_type = content_type.as_bytes().get(..EVENT_STREAM_TYPE.len());
+        media_type.is_some_and(|media_type| media_type.eq_ignore_ascii_case(EVENT_STREAM_TYPE))
     }
 }
 
-/// A running answer.
+/// Where a stream comes from.
+pub(super) struct StreamSource {
+    /// Takes the connection back when the stream has ended completely.
+    pub(super) pool: Rc<ConnectionPool>,
+    pub(super) endpoint: EndpointId,
+    pub(super) connection: Connection,
+    pub(super) body: Incoming,
+}
+
+/// A response that streams from an endpoint. Dropping it closes the connection.
 pub struct EventStream {
     pool: Rc<ConnectionPool>,
     endpoint: EndpointId,
+    /// None once the stream has ended completely or broken.
     connection: Option<Connection>,
     body: Incoming,
-    form: ContentKind,
-    ready: Option<Bytes>,
-    framer: Option<Framer>,
+    kind: ContentKind,
+    /// Events that were read and have not been taken.
+    first_events: Option<Bytes>,
+    /// None for a response that is no stream of events: its bytes are passed on as they come.
+    framer: Option<EventFramer>,
     ended: bool,
 }
 
 impl EventStream {
-    /// An answer whose head has come. `chat` says that its events name their end and their errors.
-    pub fn new(
-        (pool, endpoint, connection): (Rc<ConnectionPool>, EndpointId, Connection), body: Incoming,
-        (status, head): (StatusCode, HeaderMap), chat: bool,
-    ) -> Self {
-        let form = ContentKind { status, content_type: head.get(CONTENT_TYPE).cloned() };
-        let framer = form.is_event_stream().then(|| Framer { chat, ..Framer::default() });
+    /// A response whose head has come.
+    pub(super) fn new(source: StreamSource, kind: ContentKind, format: EventFormat) -> Self {
+        let framer = if kind.is_event_stream() { Some(EventFramer::new(format)) } else { None };
         EventStream {
-            pool,
-            endpoint,
-            connection: Some(connection),
-            body,
-            form,
-            ready: None,
+            pool: source.pool,
+            endpoint: source.endpoint,
+            connection: Some(source.connection),
+            body: source.body,
+            kind,
+            first_events: None,
             framer,
             ended: false,
         }
     }
 
-    /// Waits for the first event. An answer that breaks, ends, is malformed or tells an error before it has not begun.
+    /// Waits for the first event. A response that breaks, ends, is malformed or reports an error before it
+    /// has not begun.
+    ///
+    /// # Errors
+    ///
+    /// The outcome of the attempt whose stream did not begin.
     pub async fn wait_for_first_event(&mut self) -> Result<(), Outcome> {
         let first = self.read().await;
         if self.reported_error() {
             return Err(Outcome::Error);
         }
         match first {
-            Some(Ok(bytes)) => {
-                self.ready = Some(bytes);
+            Some(Ok(events)) => {
+                self.first_events = Some(events);
                 Ok(())
             }
             Some(Err(StreamBroken::Malformed)) => Err(Outcome::Malformed),
-            _ => Err(Outcome::ConnectionLost),
+            Some(Err(StreamBroken::Cut)) | None => Err(Outcome::ConnectionLost),
         }
     }
 
-    /// What the answer says it is.
+    /// What the endpoint says that the response is.
     pub fn kind(&self) -> &ContentKind {
-        &self.form
+        &self.kind
     }
 
-    /// Whether an event told an error.
+    /// Whether an event reported an error.
     pub fn reported_error(&self) -> bool {
-        self.framer.as_ref().is_some_and(|f| f.error)
+        self.framer.as_ref().is_some_and(EventFramer::reported_error)
     }
 
-    /// The next whole events as they came; none after the end of a whole stream.
+    /// The next complete events as they came; none after the end of a complete stream.
     pub async fn next_events(&mut self) -> Option<Result<Bytes, StreamBroken>> {
-        match self.ready.take() {
-            Some(bytes) => Some(Ok(bytes)),
+        match self.first_events.take() {
+            Some(events) => Some(Ok(events)),
             None => self.read().await,
         }
     }
 
     async fn read(&mut self) -> Option<Result<Bytes, StreamBroken>> {
-        // Silence is what is waited for here: while a client is slow to read, nobody listens to the endpoint.
-        let listens_until = Instant::now() + SILENCE;
+        if self.ended {
+            return None;
+        }
+        // Silence counts from here: while a client is slow to read, nobody reads from the endpoint.
+        let deadline = Instant::now() + MAX_SILENCE;
         loop {
-            if self.ended {
-                return None;
-            }
-            match timeout_at(listens_until, self.body.frame()).await {
-                Ok(Some(Ok(frame))) => {
-                    // Trailers tell nothing that is passed on.
-                    let Some(bytes) = frame.into_data().ok().filter(|b| !b.is_empty()) else { continue };
-                    let whole = match &mut self.framer {
-                        Some(framer) => framer.push(bytes),
-                        None => Ok(bytes),
-                    };
-                    match whole {
-                        Ok(bytes) if bytes.is_empty() => {}
-                        Ok(bytes) => return Some(Ok(bytes)),
-                        Err(Malformed) => return self.broke(StreamBroken::Malformed),
-                    }
-                }
-                Ok(None) if self.framer.as_mut().is_none_or(Framer::may_end) => {
-                    self.ended = true;
-                    if let Some(connection) = self.connection.take() {
-                        self.pool.put_back(self.endpoint, connection);
-                    }
-                    let rest = self.framer.as_mut().map(Framer::rest).filter(|rest| !rest.is_empty());
-                    return rest.map(Ok);
-                }
-                // After an error event a break adds nothing: the client has its answer.
-                _ if self.reported_error() => {
-                    self.ended = true;
-                    return None;
-                }
-                Ok(None) => return self.broke(StreamBroken::Cut),
-                Ok(Some(Err(error))) => {
-                    return self.broke(if unreadable(&error) {
-                        StreamBroken::Malformed
-                    } else {
-                        StreamBroken::Cut
-                    });
-                }
-                Err(_) => {
-                    self.pool.invalidate(self.endpoint);
-                    return self.broke(StreamBroken::Cut);
-                }
+            let frame = match timeout_at(deadline, self.body.frame()).await {
+                Ok(Some(Ok(frame))) => frame,
+                Ok(Some(Err(error))) => return self.end_unless_error_reported(failure_kind(&error)),
+                Ok(None) => return self.end_of_body(),
+                Err(_elapsed) => return self.silent(),
+            };
+            // Trailers carry nothing that is passed on.
+            let Ok(data) = frame.into_data() else { continue };
+            match self.complete_events(data) {
+                Ok(events) if events.is_empty() => {}
+                Ok(events) => return Some(Ok(events)),
+                Err(MalformedEvents) => return self.break_off(StreamBroken::Malformed),
             }
         }
     }
 
-    fn broke(&mut self, how: StreamBroken) -> Option<Result<Bytes, StreamBroken>> {
-        self.ended = true;
-        self.connection = None;
-        Some(Err(how))
-    }
-}
-
-/// Whether the bytes that came were not HTTP; else the connection itself failed.
-fn unreadable(error: &hyper::Error) -> bool {
-    let io = error.source().and_then(|source| source.downcast_ref::<io::Error>());
-    error.is_parse()
-        || io.is_some_and(|io| matches!(io.kind(), io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData))
-}
-
-/// What came is no event stream.
-#[derive(Debug)]
-struct Malformed;
-
-/// Cuts a stream into whole events across any cuts of its transport; changes nothing.
-#[derive(Default)]
-struct Framer {
-    chat: bool,
-    /// The beginning of an event.
-    held: BytesMut,
-    done: bool,
-    error: bool,
-}
-
-#[derive(Deserialize)]
-struct MaybeError {
-    error: Option<serde::de::IgnoredAny>,
-}
-
-impl Framer {
-    /// Takes bytes in and gives all events that are whole; nothing while there are none.
-    fn push(&mut self, bytes: Bytes) -> Result<Bytes, Malformed> {
-        if self.held.is_empty() && whole_events(&bytes) == bytes.len() {
-            self.check(&bytes)?;
-            return Ok(bytes);
+    fn complete_events(&mut self, data: Bytes) -> Result<Bytes, MalformedEvents> {
+        match &mut self.framer {
+            Some(framer) if !data.is_empty() => framer.push(data),
+            _ => Ok(data),
         }
-        self.held.extend_from_slice(&bytes);
-        let whole = self.held.split_to(whole_events(&self.held)).freeze();
-        self.check(&whole)?;
-        // Noise shows at once; it is not waited for until it has filled an event.
-        let text = std::str::from_utf8(&self.held).map_or_else(|e| e.error_len().is_none(), |_| true);
-        if !text || self.held.iter().any(is_control) || self.held.len() > EVENT_MOST {
-            return Err(Malformed);
-        }
-        Ok(whole)
     }
 
-    fn check(&mut self, events: &[u8]) -> Result<(), Malformed> {
-        if std::str::from_utf8(events).is_err() || events.iter().any(is_control) {
-            return Err(Malformed);
+    /// The body has ended: gives the connection back if the stream is complete.
+    fn end_of_body(&mut self) -> Option<Result<Bytes, StreamBroken>> {
+        if !self.framer.as_mut().is_none_or(EventFramer::ends_complete) {
+            return self.break_off(StreamBroken::Cut);
         }
-        if self.chat {
-            events.split(|&b| b == b'\n').for_each(|line| self.line(line.trim_ascii()));
+        self.ended = true;
+        if let Some(connection) = self.connection.take() {
+            self.pool.put_back(self.endpoint, connection);
         }
-        Ok(())
-    }
-
-    fn line(&mut self, line: &[u8]) {
-        let Some(data) = line.strip_prefix(b"data:").map(|d| d.trim_ascii()) else { return };
-        let tells = |d| serde_json::from_slice(d).is_ok_and(|m: MaybeError| m.error.is_some());
-        self.done |= data == b"[DONE]";
-        self.error |= data != b"[DONE]" && tells(data);
+        let remainder = self.framer.as_mut()?.take_remainder();
+        if remainder.is_empty() { None } else { Some(Ok(remainder)) }
     }
 
-    /// What came behind the last whole event; the stream has ended there.
-    fn rest(&mut self) -> Bytes {
-        self.held.split().freeze()
+    /// The endpoint has been silent for too long, and may be on its other connections.
+    fn silent(&mut self) -> Option<Result<Bytes, StreamBroken>> {
+        if !self.reported_error() {
+            self.pool.invalidate(self.endpoint);
+        }
+        self.end_unless_error_reported(StreamBroken::Cut)
     }
 
-    /// Whether a stream that ends here is whole.
-    fn may_end(&mut self) -> bool {
-        if self.chat {
-            let rest = self.held.clone();
-            rest.as_ref().split(|&b| b == b'\n').for_each(|line| self.line(line.trim_ascii()));
+    /// Ends a stream that broke. After an error event a break adds nothing: the client has its response.
+    fn end_unless_error_reported(&mut self, broken: StreamBroken) -> Option<Result<Bytes, StreamBroken>> {
+        if self.reported_error() {
+            self.ended = true;
+            return None;
         }
-        !self.chat || self.done || self.error
+        self.break_off(broken)
     }
-}
 
-/// How many of the bytes are whole events: up to the last empty line.
-fn whole_events(bytes: &[u8]) -> usize {
-    let empty_line = |at: &usize| matches!(bytes[..=*at], [.., b'\n', b'\n'] | [.., b'\n', b'\r', b'\n']);
-    (0..bytes.len()).rev().find(empty_line).map_or(0, |at| at + 1)
+    fn break_off(&mut self, broken: StreamBroken) -> Option<Result<Bytes, StreamBroken>> {
+        self.ended = true;
+        self.connection = None;
+        Some(Err(broken))
+    }
 }
 
-fn is_control(byte: &u8) -> bool {
-    byte.is_ascii_control() && !matches!(byte, b'\n' | b'\r' | b'\t')
+/// Whether the bytes that came were not HTTP, or the connection itself failed.
+fn failure_kind(error: &hyper::Error) -> StreamBroken {
+    let io_kind = error.source().and_then(|source| source.downcast_ref::<io::Error>()).map(io::Error::kind);
+    let is_invalid = matches!(io_kind, Some(io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData));
+    if error.is_parse() || is_invalid { StreamBroken::Malformed } else { StreamBroken::Cut }
 }
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -14,7 +14,8 @@
 use crate::scheduler::{EndpointId, LoadReport, Micros, Outcome, Role};
 use crate::upstream::connect::{ConnectError, Connection};
 use crate::upstream::connection_pool::ConnectionPool;
-use crate::upstream::event_stream::EventStream;
+use crate::upstream::event_framer::EventFormat;
+use crate::upstream::event_stream::{ContentKind, EventStream, StreamSource};
 use crate::upstream::send_gate::{AttemptDeadlines, SendDenied, SendGate};
 use crate::upstream::write_progress::WriteProgress;
 
@@ -219,8 +220,10 @@
         let report = head.headers.get("server-load").and_then(|v| load(v.as_bytes()));
         if head.status == StatusCode::OK || self.is_answer(head.status) {
             let chat = matches!(self.protocol, UpstreamProtocol::Chat(_));
-            let from = (self.pool.clone(), endpoint, connection);
-            let mut events = EventStream::new(from, body, (head.status, head.headers), chat);
+            let format = if chat { EventFormat::ChatCompletions } else { EventFormat::Opaque };
+            let source = StreamSource { pool: self.pool.clone(), endpoint, connection, body };
+            let kind = ContentKind::of(head.status, &head.headers);
+            let mut events = EventStream::new(source, kind, format);
             // The platform's servers answer in streams of events; what is none was not made for this request.
             if !chat && !events.kind().is_event_stream() {
                 return (AttemptResponse::Finished(Outcome::Malformed), report);
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -8,4 +8,5 @@
 pub mod send_gate;
 pub mod write_progress;
 
+mod event_framer;
 mod idle_connections;
