--- /dev/null
+++ b/src/upstream/attempt.rs
@@ -0,0 +1,254 @@
+//! One attempt: a request is sent to one endpoint, and its response read up to the first event.
+
+use hyper::body::Incoming;
+use hyper::client::conn::TrySendError;
+use hyper::http::response;
+use hyper::{Request, Response};
+use tokio::time::{Instant, timeout, timeout_at};
+
+use crate::scheduler::{EndpointId, LoadReport, Outcome};
+use crate::upstream::connect::{ConnectError, Connection};
+use crate::upstream::event_framer::EventFormat;
+use crate::upstream::event_stream::{ContentKind, EventStream, StreamSource};
+use crate::upstream::exchange::{AttemptResponse, AttemptResult, RequestPayload, Upstream, UpstreamProtocol};
+use crate::upstream::load_report;
+use crate::upstream::request_head;
+use crate::upstream::response::{
+    FAILURE_BODY_TIMEOUT, ResponseClass, classify, parse_cached_tokens, read_body,
+};
+use crate::upstream::send_gate::{AttemptDeadlines, AttemptInFlight, SendDenied, SendGate};
+use crate::upstream::write_progress::{TrackedBody, WriteProgress};
+
+impl Upstream {
+    /// Sends the request to an endpoint and waits, within the deadlines, for what it comes to. Dropping the
+    /// future abandons the attempt: its connection closes.
+    pub async fn run_attempt(
+        &self, endpoint: EndpointId, payload: &RequestPayload, deadlines: AttemptDeadlines, gate: &SendGate,
+    ) -> (AttemptResponse, Option<LoadReport>) {
+        self.counters().attempts.increment();
+        let started = Instant::now();
+        let mut attempt =
+            Attempt { upstream: self, endpoint, payload, deadlines, gate, write_progress: None };
+        let finished = timeout_at(deadlines.response_deadline, attempt.run()).await;
+        let Ok(result) = finished else {
+            self.pool().invalidate_if_unheard_since(endpoint, started);
+            return (AttemptResponse::Finished(attempt.timeout_outcome()), None);
+        };
+        if let AttemptResponse::Finished(Outcome::ConnectFailed | Outcome::ConnectionLost) = result.response {
+            self.pool().invalidate(endpoint);
+        }
+        (result.response, result.load_report)
+    }
+}
+
+/// One attempt at one endpoint.
+struct Attempt<'a> {
+    upstream: &'a Upstream,
+    endpoint: EndpointId,
+    payload: &'a RequestPayload,
+    deadlines: AttemptDeadlines,
+    gate: &'a SendGate,
+    /// How far the request is written on the present connection; none while there is no connection.
+    write_progress: Option<WriteProgress>,
+}
+
+/// A request that was written, and the head of its response.
+struct Exchange {
+    connection: Connection,
+    response: Response<Incoming>,
+    in_flight: AttemptInFlight,
+}
+
+/// Why a request that was admitted has no response.
+enum SendFailure {
+    /// The reused connection had just closed and nothing of the request was written to it.
+    ClosedBeforeUse,
+    /// The attempt has ended.
+    Finished(Outcome),
+}
+
+impl Attempt<'_> {
+    async fn run(&mut self) -> AttemptResult {
+        match self.send().await {
+            Ok(exchange) => self.receive(exchange).await,
+            Err(outcome) => AttemptResult::finished(outcome),
+        }
+    }
+
+    /// What an attempt comes to whose time ran out: only a request that was written may have run.
+    fn timeout_outcome(&self) -> Outcome {
+        if self.write_progress.as_ref().is_some_and(WriteProgress::is_flushed) {
+            Outcome::TimedOut
+        } else {
+            Outcome::ConnectFailed
+        }
+    }
+
+    /// Sends the request and waits for the head of the response. Nothing is ever sent twice: another
+    /// connection is used only when nothing was written to the one before.
+    async fn send(&mut self) -> Result<Exchange, Outcome> {
+        loop {
+            self.write_progress = None;
+            let connection = self.connect().await?;
+            let in_flight = match self.admit() {
+                Ok(in_flight) => in_flight,
+                Err(outcome) => {
+                    self.upstream.pool().put_back(self.endpoint, connection);
+                    return Err(outcome);
+                }
+            };
+            match self.send_over(connection, in_flight).await {
+                Ok(exchange) => return Ok(exchange),
+                Err(SendFailure::ClosedBeforeUse) => {}
+                Err(SendFailure::Finished(outcome)) => return Err(outcome),
+            }
+        }
+    }
+
+    /// A connection for the attempt, waited for no longer than the attempt may begin.
+    async fn connect(&self) -> Result<Connection, Outcome> {
+        let connection = match self.deadlines.start_deadline {
+            Some(start_deadline) => {
+                let connection = timeout_at(start_deadline, self.pooled_connection()).await;
+                connection.unwrap_or(Err(ConnectError::Local))
+            }
+            None => self.pooled_connection().await,
+        };
+        connection.map_err(|error| match error {
+            ConnectError::Endpoint => Outcome::ConnectFailed,
+            ConnectError::Local => Outcome::NotSent,
+        })
+    }
+
+    async fn pooled_connection(&self) -> Result<Connection, ConnectError> {
+        let pool = self.upstream.pool();
+        if self.deadlines.reserved {
+            pool.verified_connection(self.endpoint).await
+        } else {
+            pool.connection(self.endpoint).await
+        }
+    }
+
+    /// The last check before the first byte.
+    fn admit(&self) -> Result<AttemptInFlight, Outcome> {
+        let address = self.upstream.pool().address(self.endpoint);
+        self.gate.admit(address.as_ref(), &self.deadlines).map_err(|denied| {
+            tracing::debug!(
+                request_id = %self.payload.id,
+                endpoint = self.endpoint.0,
+                reason = ?denied,
+                "attempt not sent"
+            );
+            match denied {
+                SendDenied::RequestEnded => Outcome::Abandoned,
+                SendDenied::Draining
+                | SendDenied::Late
+                | SendDenied::Expired
+                | SendDenied::AttemptInFlight => Outcome::NotSent,
+            }
+        })
+    }
+
+    async fn send_over(
+        &mut self, mut connection: Connection, in_flight: AttemptInFlight,
+    ) -> Result<Exchange, SendFailure> {
+        let body = connection.body(self.payload.body.clone());
+        let progress = body.progress();
+        self.write_progress = Some(progress.clone());
+        let request = self.request(body);
+        match connection.sender().try_send_request(request).await {
+            Ok(response) => Ok(Exchange { connection, response, in_flight }),
+            Err(error) => Err(send_failure(error, progress.is_flushed(), connection.is_reused())),
+        }
+    }
+
+    fn request(&self, body: TrackedBody) -> Request<TrackedBody> {
+        let mut request = Request::new(body);
+        let address = self.upstream.pool().address(self.endpoint);
+        request_head::fill(&mut request, self.upstream.protocol(), address.as_ref(), self.payload);
+        request_head::insert_timeout(request.headers_mut(), self.deadlines.response_deadline);
+        request
+    }
+
+    /// Reads the response as far as its kind asks for. The attempt counts as in flight until then.
+    async fn receive(&self, exchange: Exchange) -> AttemptResult {
+        let Exchange { connection, response, in_flight: _in_flight } = exchange;
+        let (head, body) = response.into_parts();
+        let load_report = load_report::from_headers(&head.headers);
+        match classify(self.upstream.protocol(), head.status, &head.headers) {
+            ResponseClass::Forwarded => {
+                let streaming = self.start_stream(connection, &head, body).await;
+                AttemptResult { response: streaming, load_report }
+            }
+            ResponseClass::Accepted => self.read_accepted(connection, body, load_report).await,
+            ResponseClass::Failed(outcome) => {
+                self.discard_body(connection, body).await;
+                AttemptResult { response: AttemptResponse::Finished(outcome), load_report }
+            }
+        }
+    }
+
+    async fn start_stream(
+        &self, connection: Connection, head: &response::Parts, body: Incoming,
+    ) -> AttemptResponse {
+        let kind = ContentKind::of(head.status, &head.headers);
+        let format = match self.upstream.protocol() {
+            // The platform's endpoints respond in streams of events; what is none was not made for this
+            // request.
+            UpstreamProtocol::Platform if !kind.is_event_stream() => {
+                return AttemptResponse::Finished(Outcome::Malformed);
+            }
+            UpstreamProtocol::Platform => EventFormat::Opaque,
+            UpstreamProtocol::Chat(_) => EventFormat::ChatCompletions,
+        };
+        let pool = self.upstream.pool().clone();
+        let source = StreamSource { pool, endpoint: self.endpoint, connection, body };
+        let mut events = EventStream::new(source, kind, format);
+        match events.wait_for_first_event().await {
+            Ok(()) => AttemptResponse::Streaming(Box::new(events)),
+            Err(outcome) => AttemptResponse::Finished(outcome),
+        }
+    }
+
+    /// Reads the body of a 202: by it a prefill endpoint says that the prompt is prefilled. What the head
+    /// reported is void if the body does not come.
+    async fn read_accepted(
+        &self, connection: Connection, body: Incoming, load_report: Option<LoadReport>,
+    ) -> AttemptResult {
+        let Some(text) = read_body(body).await else {
+            return AttemptResult::finished(Outcome::ConnectionLost);
+        };
+        self.upstream.pool().put_back(self.endpoint, connection);
+        let response = match self.upstream.protocol() {
+            UpstreamProtocol::Platform => AttemptResponse::Prefilled(parse_cached_tokens(&text)),
+            UpstreamProtocol::Chat(_) => AttemptResponse::Finished(Outcome::Error),
+        };
+        AttemptResult { response, load_report }
+    }
+
+    /// Reads a body of which nothing is needed, so that its connection can be used again.
+    async fn discard_body(&self, connection: Connection, body: Incoming) {
+        let read = timeout(FAILURE_BODY_TIMEOUT, read_body(body)).await;
+        if matches!(read, Ok(Some(_))) {
+            self.upstream.pool().put_back(self.endpoint, connection);
+        }
+    }
+}
+
+/// hyper gives back a request of which it has written nothing. Only then, and only on a reused connection,
+/// which its endpoint may have closed meanwhile, may the request go over another one.
+fn send_failure(
+    mut error: TrySendError<Request<TrackedBody>>, is_flushed: bool, is_reused: bool,
+) -> SendFailure {
+    let is_untouched = error.take_message().is_some() && !is_flushed;
+    if is_untouched && is_reused {
+        return SendFailure::ClosedBeforeUse;
+    }
+    SendFailure::Finished(if !is_flushed {
+        Outcome::ConnectFailed
+    } else if error.error().is_parse() {
+        Outcome::Malformed
+    } else {
+        Outcome::ConnectionLost
+    })
+}
--- /dev/null
+++ b/src/upstream/load_report.rs
@@ -0,0 +1,50 @@
+//! The load reports of endpoints, as they stand in a header or in the body of a health check.
+
+use hyper::header::HeaderMap;
+use serde::Deserialize;
+
+use crate::scheduler::{LoadReport, Micros};
+
+/// Header with the endpoint's load.
+const SERVER_LOAD: &str = "server-load";
+
+/// Tokens in the thousand in which endpoints report the tokens that wait for prefill.
+const TOKENS_PER_REPORTED_UNIT: f64 = 1_000.0;
+
+/// Microseconds in the millisecond in which endpoints report their latency.
+const MICROS_PER_MILLI: f64 = 1_000.0;
+
+/// A load report by its names on sockets, which the platform's settings give.
+#[derive(Deserialize)]
+struct LoadReportText {
+    #[serde(rename = "inflight")]
+    in_flight: Option<f64>,
+    #[serde(rename = "queue")]
+    queued_requests: Option<f64>,
+    #[serde(rename = "util")]
+    slot_utilization: Option<f64>,
+    #[serde(rename = "latency_ms")]
+    recent_latency_ms: Option<f64>,
+    #[serde(rename = "x0")]
+    memory_utilization: Option<f64>,
+    #[serde(rename = "x1")]
+    queued_prefill_kilotokens: Option<f64>,
+}
+
+/// The load report in the head of a response, if there is one that can be read.
+pub(super) fn from_headers(headers: &HeaderMap) -> Option<LoadReport> {
+    parse(headers.get(SERVER_LOAD)?.as_bytes())
+}
+
+/// Reads a load report; none if the text is not one.
+pub(super) fn parse(text: &[u8]) -> Option<LoadReport> {
+    let report: LoadReportText = serde_json::from_slice(text).ok()?;
+    Some(LoadReport {
+        in_flight: report.in_flight,
+        queued_requests: report.queued_requests,
+        slot_utilization: report.slot_utilization,
+        recent_latency: report.recent_latency_ms.map(|millis| (millis * MICROS_PER_MILLI) as Micros),
+        memory_utilization: report.memory_utilization,
+        queued_prefill_tokens: report.queued_prefill_kilotokens.map(|k| k * TOKENS_PER_REPORTED_UNIT),
+    })
+}
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -2,11 +2,16 @@
 
 pub mod connect;
 pub mod connection_pool;
+pub mod control_call;
 pub mod event_stream;
 pub mod exchange;
 pub mod release;
 pub mod send_gate;
 pub mod write_progress;
 
+mod attempt;
 mod event_framer;
 mod idle_connections;
+mod load_report;
+mod request_head;
+mod response;
--- /dev/null
+++ b/src/upstream/request_head.rs
@@ -0,0 +1,50 @@
+//! Method, target and headers of the requests to endpoints.
+
+use hyper::header::{CONTENT_TYPE, HOST, HeaderMap, HeaderValue};
+use hyper::{Method, Request};
+use tokio::time::Instant;
+
+use crate::upstream::connection_pool::EndpointAddress;
+use crate::upstream::exchange::{IDEMPOTENCY_KEY, RequestPayload, UpstreamProtocol};
+
+/// Header with the id by which endpoints know the request.
+const REQUEST_ID: &str = "request-id";
+
+/// Header with the time in milliseconds for which the response is waited for.
+const REQUEST_TIMEOUT: &str = "request-timeout-ms";
+
+/// Fills in the head of an attempt, but for its timeout.
+pub(super) fn fill<B>(
+    request: &mut Request<B>, protocol: &UpstreamProtocol, address: Option<&EndpointAddress>,
+    payload: &RequestPayload,
+) {
+    *request.method_mut() = Method::POST;
+    *request.uri_mut() = payload.target.clone().into();
+    let headers = request.headers_mut();
+    if let UpstreamProtocol::Chat(extra_headers) = protocol {
+        headers.extend(extra_headers.clone());
+    }
+    insert_host(headers, address);
+    insert_if_present(headers, REQUEST_ID, HeaderValue::from_str(&payload.id).ok());
+    insert_if_present(headers, CONTENT_TYPE.as_str(), payload.content_type.clone());
+    insert_if_present(headers, IDEMPOTENCY_KEY, payload.idempotency_key.clone());
+}
+
+/// Names the time for which the response is waited for: what is left until the deadline, and 1 ms at least.
+pub(super) fn insert_timeout(headers: &mut HeaderMap, response_deadline: Instant) {
+    let remaining = response_deadline.saturating_duration_since(Instant::now());
+    let remaining_ms = remaining.as_millis() as u64;
+    headers.insert(REQUEST_TIMEOUT, remaining_ms.max(1).into());
+}
+
+/// Names the endpoint's address as the host.
+pub(super) fn insert_host(headers: &mut HeaderMap, address: Option<&EndpointAddress>) {
+    let host = address.and_then(|address| HeaderValue::from_str(&address.addr.to_string()).ok());
+    insert_if_present(headers, HOST.as_str(), host);
+}
+
+fn insert_if_present(headers: &mut HeaderMap, name: &'static str, value: Option<HeaderValue>) {
+    if let Some(value) = value {
+        headers.insert(name, value);
+    }
+}
