--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -325,7 +325,7 @@
             let wake = tokio::select! {
                 biased;
                 wake = self.wake() => wake,
-                done = &mut first => return done,
+                done = &mut first => return (done.response, done.load_report),
             };
             match wake {
                 Wake::Command(RequestCommand::Cancel(which)) if which == attempt.id => return withdrawn,
--- a/src/routing_context.rs
+++ b/src/routing_context.rs
@@ -27,8 +27,8 @@
             scheduler_handle::FleetCommand::HealthCheck(endpoint) => {
                 let core = core.clone();
                 tokio::task::spawn_local(async move {
-                    let (outcome, load) = core.upstream.health_check(endpoint).await;
-                    core.scheduler.health_checked(endpoint, outcome, load);
+                    let checked = core.upstream.health_check(endpoint).await;
+                    core.scheduler.health_checked(endpoint, checked.outcome, checked.load_report);
                 });
             }
         }
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -24,7 +24,7 @@
     /// future abandons the attempt: its connection closes.
     pub async fn run_attempt(
         &self, endpoint: EndpointId, payload: &RequestPayload, deadlines: AttemptDeadlines, gate: &SendGate,
-    ) -> (AttemptResponse, Option<LoadReport>) {
+    ) -> AttemptResult {
         self.counters().attempts.increment();
         let started = Instant::now();
         let mut attempt =
@@ -32,12 +32,12 @@
         let finished = timeout_at(deadlines.response_deadline, attempt.run()).await;
         let Ok(result) = finished else {
             self.pool().invalidate_if_unheard_since(endpoint, started);
-            return (AttemptResponse::Finished(attempt.timeout_outcome()), None);
+            return AttemptResult::finished(attempt.timeout_outcome());
         };
         if let AttemptResponse::Finished(Outcome::ConnectFailed | Outcome::ConnectionLost) = result.response {
             self.pool().invalidate(endpoint);
         }
-        (result.response, result.load_report)
+        result
     }
 }
 
--- a/src/upstream/control_call.rs
+++ b/src/upstream/control_call.rs
@@ -18,6 +18,14 @@
 /// The path at which endpoints report their load.
 const HEALTH_CHECK_PATH: &str = "/-/load";
 
+/// How a health check ended.
+pub struct HealthCheckResult {
+    /// [`Outcome::Completed`] when the endpoint is well.
+    pub outcome: Outcome,
+    /// The endpoint's load, if it is well and reports it.
+    pub load_report: Option<LoadReport>,
+}
+
 impl Upstream {
     /// Releases all that is reserved for the request, by way of one endpoint; whether that endpoint accepted
     /// the call.
@@ -27,18 +35,19 @@
     }
 
     /// Checks whether an endpoint responds, and reads its load.
-    pub async fn health_check(&self, endpoint: EndpointId) -> (Outcome, Option<LoadReport>) {
+    pub async fn health_check(&self, endpoint: EndpointId) -> HealthCheckResult {
         self.counters().probes.increment();
         let call = self.call(endpoint, Method::GET, HEALTH_CHECK_PATH);
         let outcome = match timeout(HEALTH_CHECK_TIMEOUT, call).await {
             Ok(Some(response)) if response.status() == StatusCode::OK => {
-                return (Outcome::Completed, load_report::parse(response.body()));
+                let load_report = load_report::parse(response.body());
+                return HealthCheckResult { outcome: Outcome::Completed, load_report };
             }
             Ok(Some(_)) => Outcome::Error,
             Ok(None) => Outcome::ConnectFailed,
             Err(_elapsed) => Outcome::TimedOut,
         };
-        (outcome, None)
+        HealthCheckResult { outcome, load_report: None }
     }
 
     /// Makes a call without a body; gives the response with its body, or none if it did not come.
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -150,7 +150,7 @@
             start_deadline: start_by,
             reserved: false,
         };
-        let (first, _) = upstream.run_attempt(EndpointId(rig::PREFILL), &payload(), times, &gate).await;
+        let first = upstream.run_attempt(EndpointId(rig::PREFILL), &payload(), times, &gate).await.response;
         let AttemptResponse::Finished(outcome) = first else { panic!("nobody answers") };
         outcome
     });
@@ -218,7 +218,7 @@
             reserved: true,
         };
         let host = EndpointId(rig::PREFILL);
-        let attempt = async { core.upstream.run_attempt(host, &payload(), times, &gate).await.0 };
+        let attempt = async { core.upstream.run_attempt(host, &payload(), times, &gate).await.response };
         match timeout(PATIENCE / 10, attempt).await {
             Ok(AttemptResponse::Finished(outcome)) => Some(outcome),
             _ => None,
