--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -193,8 +193,7 @@
     ) -> AttemptResponse {
         let kind = ContentKind::of(head.status, &head.headers);
         let format = match self.upstream.protocol() {
-            // The platform's endpoints respond in streams of events; what is none was not made for this
-            // request.
+            // The platform's endpoints stream events; a response that does not was not made for this request.
             UpstreamProtocol::Platform if !kind.is_event_stream() => {
                 return AttemptResponse::Finished(Outcome::Malformed);
             }
@@ -244,11 +243,12 @@
     if is_untouched && is_reused {
         return SendFailure::ClosedBeforeUse;
     }
-    SendFailure::Finished(if !is_flushed {
+    let outcome = if !is_flushed {
         Outcome::ConnectFailed
     } else if error.error().is_parse() {
         Outcome::Malformed
     } else {
         Outcome::ConnectionLost
-    })
+    };
+    SendFailure::Finished(outcome)
 }
--- a/src/upstream/event_stream.rs
+++ b/src/upstream/event_stream.rs
@@ -194,7 +194,7 @@
     }
 }
 
-/// Whether the bytes that came were not HTTP, or the connection itself failed.
+/// How a stream broke whose body failed: by bytes that are not HTTP, or with its connection.
 fn failure_kind(error: &hyper::Error) -> StreamBroken {
     let io_kind = error.source().and_then(|source| source.downcast_ref::<io::Error>()).map(io::Error::kind);
     let is_invalid = matches!(io_kind, Some(io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData));
