--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -9,7 +9,7 @@
 use crate::scheduler::{AttemptId, LoadReport, Micros, Outcome};
 use crate::scheduler_handle::{AttemptSummary, RequestCommand, SendCommand};
 use crate::upstream::event_stream::EventStream;
-use crate::upstream::exchange::{AttemptResponse, RequestPayload};
+use crate::upstream::exchange::{AttemptResponse, FirstResponse, RequestPayload};
 use crate::upstream::send_gate::AttemptDeadlines;
 
 /// One attempt in progress.
@@ -55,31 +55,18 @@
     Forward(StartedStream),
 }
 
-/// What an attempt came to before any event was forwarded.
-struct FirstResponse {
-    response: AttemptResponse,
-    load_report: Option<LoadReport>,
-}
-
-impl FirstResponse {
-    /// This task stopped the attempt before its first event.
-    fn stopped(outcome: Outcome) -> Self {
-        FirstResponse { response: AttemptResponse::Finished(outcome), load_report: None }
-    }
-}
-
 /// How an attempt ended.
-pub(super) struct AttemptResult {
+pub(super) struct AttemptEnd {
     outcome: Outcome,
     /// Prompt tokens that were found in the endpoint's cache.
     cached_tokens: f64,
     load_report: Option<LoadReport>,
 }
 
-impl From<Outcome> for AttemptResult {
+impl From<Outcome> for AttemptEnd {
     /// The endpoint reported nothing beside the outcome.
     fn from(outcome: Outcome) -> Self {
-        AttemptResult { outcome, cached_tokens: 0.0, load_report: None }
+        AttemptEnd { outcome, cached_tokens: 0.0, load_report: None }
     }
 }
 
@@ -99,7 +86,7 @@
             AttemptResponse::Streaming(events) => NextStep::Forward(StartedStream { events, attempt }),
             AttemptResponse::Prefilled(cached_tokens) => {
                 self.reservation.start();
-                let result = AttemptResult { outcome: Outcome::Prefilled, cached_tokens, load_report };
+                let result = AttemptEnd { outcome: Outcome::Prefilled, cached_tokens, load_report };
                 self.finish_attempt(&attempt, result)
             }
             AttemptResponse::Finished(outcome) => {
@@ -110,7 +97,7 @@
                     self.reservation.release();
                 }
                 self.reservation.attempt_finished(outcome, attempt.elapsed());
-                self.finish_attempt(&attempt, AttemptResult { outcome, cached_tokens: 0.0, load_report })
+                self.finish_attempt(&attempt, AttemptEnd { outcome, cached_tokens: 0.0, load_report })
             }
         }
     }
@@ -130,8 +117,8 @@
     }
 
     /// Counts and logs how an attempt ended, and reports it to the scheduler.
-    pub(super) fn finish_attempt(&mut self, attempt: &Attempt, result: AttemptResult) -> NextStep {
-        let AttemptResult { outcome, cached_tokens, load_report } = result;
+    pub(super) fn finish_attempt(&mut self, attempt: &Attempt, result: AttemptEnd) -> NextStep {
+        let AttemptEnd { outcome, cached_tokens, load_report } = result;
         self.last_outcome = Some(outcome);
         self.context.counters.attempt_ended(outcome);
         let elapsed = attempt.elapsed();
@@ -183,14 +170,14 @@
             let event = tokio::select! {
                 biased;
                 event = self.next_event() => event,
-                (response, load_report) = &mut exchange => return FirstResponse { response, load_report },
+                first_response = &mut exchange => return first_response,
             };
             if self.handle_during_attempt(&event, attempt.id).is_break() {
-                return FirstResponse::stopped(Outcome::Cancelled);
+                return FirstResponse::finished(Outcome::Cancelled);
             }
             // Not every endpoint supports cancellation, but what has not been sent yet is not sent at all.
             if self.settled && !self.gate.attempt_in_flight() {
-                return FirstResponse::stopped(Outcome::Abandoned);
+                return FirstResponse::finished(Outcome::Abandoned);
             }
         }
     }
--- a/src/routing_context.rs
+++ b/src/routing_context.rs
@@ -24,8 +24,8 @@
 impl RoutingContext {
     /// Checks an endpoint's health and load, and reports it to the scheduler.
     async fn check_health(self, endpoint: EndpointId) {
-        let (outcome, load_report) = self.upstream.health_check(endpoint).await;
-        self.scheduler.health_checked(endpoint, outcome, load_report);
+        let checked = self.upstream.health_check(endpoint).await;
+        self.scheduler.health_checked(endpoint, checked.outcome, checked.load_report);
     }
 }
 
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -14,7 +14,8 @@
 use inference_router::routing_context::RoutingContext;
 use inference_router::scheduler::{EndpointId, Outcome};
 use inference_router::scheduler_handle::SchedulerHandle;
-use inference_router::upstream::connection_pool::{Connection, ConnectionPool, EndpointAddress, PoolLimits};
+use inference_router::upstream::connect::Connection;
+use inference_router::upstream::connection_pool::{ConnectionPool, EndpointAddress, PoolLimits};
 use inference_router::upstream::exchange::{AttemptResponse, RequestPayload, Upstream, UpstreamProtocol};
 use inference_router::upstream::send_gate::{AttemptDeadlines, SendGate};
 use tokio::io::AsyncReadExt;
@@ -158,7 +159,7 @@
             start_deadline,
             reserved: false,
         };
-        let (response, _) = upstream.run_attempt(EndpointId(PREFILL), &payload(), deadlines, &gate).await;
+        let response = upstream.run_attempt(EndpointId(PREFILL), &payload(), deadlines, &gate).await.response;
         let AttemptResponse::Finished(outcome) = response else { panic!("nobody answers") };
         outcome
     });
@@ -223,7 +224,8 @@
         let deadlines =
             AttemptDeadlines { response_deadline: Instant::now() + PATIENCE, start_deadline, reserved: true };
         let endpoint = EndpointId(PREFILL);
-        let attempt = async { context.upstream.run_attempt(endpoint, &payload(), deadlines, &gate).await.0 };
+        let attempt =
+            async { context.upstream.run_attempt(endpoint, &payload(), deadlines, &gate).await.response };
         match timeout(PATIENCE / 10, attempt).await {
             Ok(AttemptResponse::Finished(outcome)) => Some(outcome),
             _ => None,
