--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -2,6 +2,8 @@
 
 use std::path::{Path, PathBuf};
 
+/// Most lines of a file of `src`.
+const MAX_FILE_LINES: usize = 350;
 /// Most lines of a file of `src/scheduler` that are not blank.
 const MAX_SCHEDULER_LINES: usize = 260;
 /// Most columns of a line of `src/scheduler`.
@@ -83,6 +85,20 @@
     found
 }
 
+#[test]
+fn no_source_file_is_too_long() {
+    let files = source_files(&root().join("src"));
+    assert!(files.len() > 1, "the sources are not where they were");
+    let mut too_long = Vec::new();
+    for path in files {
+        let lines = std::fs::read_to_string(&path).expect("a text").lines().count();
+        if lines > MAX_FILE_LINES {
+            too_long.push(format!("{lines} lines in {}", path.display()));
+        }
+    }
+    assert!(too_long.is_empty(), "over {MAX_FILE_LINES} lines: {too_long:#?}");
+}
+
 #[test]
 fn the_scheduler_keeps_its_size_and_width() {
     let mut files = 0;
