--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -7,7 +7,7 @@
 use super::ids::{EndpointId, Micros, RequestId};
 use super::outcome::Outcome;
 use super::request::{
-    ExecutionSite, LocallyUnreachable, PossibleExecution, Request, RequestState, Reservation,
+    CacheReservation, ExecutionSite, LocallyUnreachable, PossibleExecution, Request, RequestState,
 };
 use super::retry::ATTEMPTS_FOR_PREFILL_AND_DECODE;
 
@@ -185,7 +185,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         match (request.state, result.outcome) {
             (RequestState::Prefilling { prefill_endpoint }, Outcome::Prefilled) => {
-                request.state = RequestState::Prefilled(Reservation::new(prefill_endpoint, now));
+                request.state = RequestState::Prefilled(CacheReservation::new(prefill_endpoint, now));
             }
             (RequestState::Prefilling { .. }, _) => self.enqueue(id),
             // A decode endpoint that stayed silent may have fetched the KV cache.
--- a/src/scheduler/decode_selection.rs
+++ b/src/scheduler/decode_selection.rs
@@ -6,7 +6,7 @@
 use super::endpoint::{EndpointState, Pool};
 use super::hashing::rendezvous_score;
 use super::ids::{EndpointId, Micros, RequestId};
-use super::request::{Request, RequestState, Reservation};
+use super::request::{CacheReservation, Request, RequestState};
 use super::retry::FINAL_ANSWER_MARGIN;
 
 /// Power of a decode endpoint's room in its weight: mostly the one with the most room, but not for every
@@ -98,14 +98,14 @@
     }
 
     /// Whether a KV cache has to be released as no further attempt could use it in time.
-    fn must_release(&self, now: Micros, request: &Request, reservation: Reservation) -> bool {
+    fn must_release(&self, now: Micros, request: &Request, reservation: CacheReservation) -> bool {
         request.attempts() >= self.settings.capabilities.max_attempts
             || now >= request.deadline - FINAL_ANSWER_MARGIN
             || self.reserved_share(now, reservation) >= RELEASE_SHARE
     }
 
     /// Time that a KV cache has been reserved, as a share of the reservation limit.
-    fn reserved_share(&self, now: Micros, reservation: Reservation) -> f64 {
+    fn reserved_share(&self, now: Micros, reservation: CacheReservation) -> f64 {
         let reserved_for = (now - reservation.reserved_since) as f64;
         reserved_for / self.settings.rules.reservation_limit.max(1) as f64
     }
@@ -114,7 +114,7 @@
     /// the test, else one in another cell than a silent one, else one nearby, and after a while one that
     /// fails the test.
     fn decode_for_reservation(
-        &self, now: Micros, request: &Request, reservation: Reservation, earliest_first_token: Micros,
+        &self, now: Micros, request: &Request, reservation: CacheReservation, earliest_first_token: Micros,
     ) -> Option<EndpointId> {
         let mut test = FirstTokenTest::new(request, 0.0);
         if earliest_first_token > request.objective_at {
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -23,16 +23,16 @@
         prefill_endpoint: EndpointId,
     },
     /// Its KV cache waits at a prefill endpoint, and no attempt is in flight.
-    Prefilled(Reservation),
+    Prefilled(CacheReservation),
     /// Sent to a decode endpoint: with the reserved KV cache, or without one to be prefilled there.
-    Decoding(Option<Reservation>),
+    Decoding(Option<CacheReservation>),
     /// The first token is out; the reservation as before.
-    Streaming(Option<Reservation>),
+    Streaming(Option<CacheReservation>),
 }
 
 /// A KV cache that is reserved at a prefill endpoint.
 #[derive(Clone, Copy)]
-pub(super) struct Reservation {
+pub(super) struct CacheReservation {
     pub(super) prefill_endpoint: EndpointId,
     /// Since when it waits with no attempt in flight.
     pub(super) reserved_since: Micros,
@@ -40,10 +40,10 @@
     pub(super) failed_transfers: u32,
 }
 
-impl Reservation {
+impl CacheReservation {
     /// A KV cache that waits from now on.
     pub(super) fn new(prefill_endpoint: EndpointId, now: Micros) -> Self {
-        Reservation { prefill_endpoint, reserved_since: now, failed_transfers: 0 }
+        CacheReservation { prefill_endpoint, reserved_since: now, failed_transfers: 0 }
     }
 }
 
@@ -176,7 +176,7 @@
     }
 
     /// Its reserved KV cache, where there is one.
-    pub(super) fn reservation(&self) -> Option<Reservation> {
+    pub(super) fn reservation(&self) -> Option<CacheReservation> {
         match self.state {
             RequestState::Prefilled(reservation) => Some(reservation),
             RequestState::Decoding(reservation) | RequestState::Streaming(reservation) => reservation,
@@ -185,7 +185,7 @@
     }
 
     /// The reservation for an update in place.
-    pub(super) fn reservation_mut(&mut self) -> Option<&mut Reservation> {
+    pub(super) fn reservation_mut(&mut self) -> Option<&mut CacheReservation> {
         match &mut self.state {
             RequestState::Prefilled(reservation) => Some(reservation),
             RequestState::Decoding(reservation) | RequestState::Streaming(reservation) => {
@@ -199,7 +199,9 @@
     /// as one with a reservation.
     pub(super) fn start_streaming(&mut self, now: Micros) {
         let reservation = match self.state {
-            RequestState::Prefilling { prefill_endpoint } => Some(Reservation::new(prefill_endpoint, now)),
+            RequestState::Prefilling { prefill_endpoint } => {
+                Some(CacheReservation::new(prefill_endpoint, now))
+            }
             _ => self.reservation(),
         };
         self.state = RequestState::Streaming(reservation);
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -28,7 +28,7 @@
         self.counters().attempts.increment();
         let started = Instant::now();
         let mut attempt =
-            Attempt { upstream: self, endpoint, payload, deadlines, gate, write_progress: None };
+            AttemptRun { upstream: self, endpoint, payload, deadlines, gate, write_progress: None };
         let finished = timeout_at(deadlines.response_deadline, attempt.run()).await;
         let Ok(result) = finished else {
             self.pool().invalidate_if_unheard_since(endpoint, started);
@@ -42,7 +42,7 @@
 }
 
 /// One attempt at one endpoint.
-struct Attempt<'a> {
+struct AttemptRun<'a> {
     upstream: &'a Upstream,
     endpoint: EndpointId,
     payload: &'a RequestPayload,
@@ -67,7 +67,7 @@
     Finished(Outcome),
 }
 
-impl Attempt<'_> {
+impl AttemptRun<'_> {
     async fn run(&mut self) -> FirstResponse {
         match self.send().await {
             Ok(exchange) => self.receive(exchange).await,
