--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,6 +1,6 @@
 //! Lets a simulator drive the scheduler: reads batches of events from standard input, one a line, and writes
 //! one line of commands for each to standard output.
-#![forbid(unsafe_code)]
+#![warn(clippy::expect_used, clippy::unwrap_used)]
 
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,8 +4,7 @@
 //! reads requests, [`request`] runs each request's task, [`upstream`] talks to endpoints, [`discovery`]
 //! watches the endpoint list, and [`config`] reads the configuration. [`simulator`] lets a simulator drive
 //! the same decisions.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(clippy::expect_used, clippy::unwrap_used)]
 
 #[doc = include_str!("../README.md")]
 #[cfg(doctest)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
 //! The router's program: its arguments, its log and its exit code. [`startup`] starts and runs the router.
-#![forbid(unsafe_code)]
+#![warn(clippy::expect_used, clippy::unwrap_used)]
 
 mod startup;
 
