--- a/src/clock.rs
+++ b/src/clock.rs
@@ -30,3 +30,13 @@
 pub fn duration_from_micros(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
+
+/// The nearest microsecond to a time in milliseconds, which has fractions on the wire.
+pub fn micros_from_millis(millis: f64) -> Micros {
+    (millis * 1000.0).round() as Micros
+}
+
+/// A time in milliseconds, as the wire has it.
+pub fn millis_from_micros(micros: Micros) -> f64 {
+    micros as f64 / 1000.0
+}
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,6 +8,7 @@
 pub mod platform;
 mod pool;
 pub mod reload;
+pub mod settings;
 mod tls;
 
 pub use chat::ChatConfig;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -8,9 +8,9 @@
 
 use crate::config::error::{ConfigError, PlatformConfigError};
 use crate::config::pool::{default_connect_timeout_ms, default_idle_close_ms, pool_limits};
+use crate::config::settings::{NamedSettings, SettingNames, settings_from};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::scheduler::Settings;
-use crate::simulator::{SettingNames, settings_from};
 use crate::upstream::connection_pool::PoolLimits;
 
 /// Most sockets that are used, whatever the configuration allows.
@@ -117,7 +117,7 @@
         let file: File = serde_json::from_slice(text)?;
         let connections =
             NodeSettings::deserialize(&file.settings).map_err(PlatformConfigError::ProcessSettings)?.limits;
-        let (settings, names) = settings_from(file.settings)
+        let NamedSettings { settings, names } = settings_from(file.settings)
             .map_err(|error| PlatformConfigError::SchedulerSettings(error.into()))?;
         let seed = parse_seed(&file.seed)?;
         let sockets = file.limits.sockets.min(MAX_SOCKETS);
--- a/src/simulator/settings.rs
+++ b/src/config/settings/mod.rs
@@ -1,16 +1,19 @@
-//! Reads the settings object into the scheduler's settings and the names that later messages refer to.
+//! The settings object, which a replica's configuration and the simulator's first message hold alike: it is read into
+//! the scheduler's settings and the names that later messages refer to.
+
+mod error;
+pub(crate) mod object;
+
+pub use error::{SettingsError, UnknownName};
 
 use serde_json::Value;
 
-use super::error::{SettingsError, UnknownName};
-use super::settings_object::{
-    Account, FamilyInfo, Invariants, Lane, MembershipMode, Options, WireIdempotency, WireLimits,
-};
-use super::units::micros_from_millis;
+use crate::clock::micros_from_millis;
 use crate::scheduler::{
     Capabilities, ClassId, EndpointKind, Idempotency, KindId, Micros, RequestClass, Role, Rules, Settings,
     Tenant, TenantId, ZoneId,
 };
+use object::{Account, FamilyInfo, Invariants, Lane, MembershipMode, Options, WireIdempotency, WireLimits};
 
 /// The names in a settings object, each list in the order of the scheduler's indices.
 #[derive(Clone, Debug, Default)]
@@ -26,19 +29,19 @@
 }
 
 impl SettingNames {
-    pub(super) fn zone_id(&self, name: &str) -> Result<ZoneId, UnknownName> {
+    pub(crate) fn zone_id(&self, name: &str) -> Result<ZoneId, UnknownName> {
         position(&self.zones, "zone", name).map(ZoneId)
     }
 
-    pub(super) fn kind_id(&self, name: &str) -> Result<KindId, UnknownName> {
+    pub(crate) fn kind_id(&self, name: &str) -> Result<KindId, UnknownName> {
         position(&self.kinds, "kind", name).map(KindId)
     }
 
-    pub(super) fn class_id(&self, name: &str) -> Result<ClassId, UnknownName> {
+    pub(crate) fn class_id(&self, name: &str) -> Result<ClassId, UnknownName> {
         position(&self.classes, "class", name).map(ClassId)
     }
 
-    pub(super) fn tenant_id(&self, name: &str) -> Result<TenantId, UnknownName> {
+    pub(crate) fn tenant_id(&self, name: &str) -> Result<TenantId, UnknownName> {
         position(&self.tenants, "tenant", name).map(TenantId)
     }
 }
@@ -50,18 +53,27 @@
         .ok_or_else(|| UnknownName { category, name: name.to_owned() })
 }
 
+/// The scheduler's settings, and the names behind its indices.
+#[derive(Clone, Debug)]
+pub struct NamedSettings {
+    /// The settings.
+    pub settings: Settings,
+    /// The names.
+    pub names: SettingNames,
+}
+
 /// Reads the settings object that the simulator's first message and a replica's configuration hold.
 ///
 /// # Errors
 ///
 /// When the object lacks a key, has a value of the wrong type, or contradicts itself.
-pub fn settings_from(options: Value) -> Result<(Settings, SettingNames), SettingsError> {
+pub fn settings_from(options: Value) -> Result<NamedSettings, SettingsError> {
     let options: Options = serde_json::from_value(options)?;
     settings_from_options(&options)
 }
 
 /// As [`settings_from`], for an object that has been parsed.
-pub(super) fn settings_from_options(options: &Options) -> Result<(Settings, SettingNames), SettingsError> {
+pub(crate) fn settings_from_options(options: &Options) -> Result<NamedSettings, SettingsError> {
     let kinds = endpoint_kinds(&options.kinds, &options.family)?;
     if options.replicas == 0 {
         return Err(SettingsError::NoReplicas);
@@ -77,7 +89,7 @@
         capabilities: capabilities(&options.capabilities, &options.family),
         watch_endpoint_list: matches!(options.membership_mode, MembershipMode::Watch),
     };
-    Ok((settings, names))
+    Ok(NamedSettings { settings, names })
 }
 
 fn setting_names(options: &Options) -> SettingNames {
--- a/src/simulator/settings_object.rs
+++ b/src/config/settings/object.rs
@@ -11,34 +11,34 @@
 
 /// The settings object.
 #[derive(Deserialize)]
-pub(super) struct Options {
+pub(crate) struct Options {
     #[serde(rename = "accounts", default)]
-    pub(super) tenants: Vec<Account>,
+    pub(crate) tenants: Vec<Account>,
     /// How many replicas serve the fleet.
     #[serde(rename = "balancers")]
-    pub(super) replicas: u32,
+    pub(crate) replicas: u32,
     #[serde(rename = "failureDomains")]
-    pub(super) zones: Vec<String>,
+    pub(crate) zones: Vec<String>,
     #[serde(rename = "familyInfo")]
-    pub(super) family: FamilyInfo,
+    pub(crate) family: FamilyInfo,
     #[serde(rename = "invariants")]
-    pub(super) rules: Invariants,
+    pub(crate) rules: Invariants,
     /// Names of the kinds of endpoint.
-    pub(super) kinds: Vec<String>,
+    pub(crate) kinds: Vec<String>,
     #[serde(rename = "lanes")]
-    pub(super) classes: Vec<Lane>,
+    pub(crate) classes: Vec<Lane>,
     #[serde(rename = "limits")]
-    pub(super) capabilities: WireLimits,
+    pub(crate) capabilities: WireLimits,
     /// The zone of this replica.
     #[serde(rename = "locality")]
-    pub(super) zone: String,
+    pub(crate) zone: String,
     #[serde(rename = "membershipMode")]
-    pub(super) membership_mode: MembershipMode,
+    pub(crate) membership_mode: MembershipMode,
 }
 
 /// How updates of the endpoint list reach a replica.
 #[derive(Deserialize)]
-pub(super) enum MembershipMode {
+pub(crate) enum MembershipMode {
     /// Without a watch.
     #[serde(rename = "push")]
     Push,
@@ -49,40 +49,40 @@
 
 /// A tenant.
 #[derive(Deserialize)]
-pub(super) struct Account {
-    pub(super) name: String,
+pub(crate) struct Account {
+    pub(crate) name: String,
     /// Requests a second within its quota, over all replicas.
     #[serde(rename = "quotaPerS")]
-    pub(super) quota_per_s: f64,
+    pub(crate) quota_per_s: f64,
 }
 
 /// What is particular to a fleet that pairs prefill with decode endpoints.
 #[derive(Deserialize)]
-pub(super) struct FamilyInfo {
+pub(crate) struct FamilyInfo {
     #[serde(rename = "ahead")]
-    pub(super) reserve_ahead: bool,
+    pub(crate) reserve_ahead: bool,
     /// For each class, what 1,000 prompt tokens add to the first token's objective, in microseconds.
     #[serde(rename = "aimUsPer1000PromptTokens")]
-    pub(super) objectives_per_1000_prompt_tokens_us: Vec<f64>,
+    pub(crate) objectives_per_1000_prompt_tokens_us: Vec<f64>,
     #[serde(rename = "localRead")]
-    pub(super) local_prefill: bool,
+    pub(crate) local_prefill: bool,
     /// For each kind, its KV cache memory; absent where the deployment does not say.
     #[serde(rename = "memoryTokens")]
-    pub(super) memory_tokens: Option<Vec<f64>>,
+    pub(crate) memory_tokens: Option<Vec<f64>>,
     #[serde(rename = "pinLimit")]
-    pub(super) reservation_limit_ms: f64,
-    pub(super) resume: bool,
+    pub(crate) reservation_limit_ms: f64,
+    pub(crate) resume: bool,
     /// For each kind, its role.
     #[serde(rename = "roleByKind")]
-    pub(super) roles: Vec<WireRole>,
+    pub(crate) roles: Vec<WireRole>,
     /// For each class, the wanted mean time between tokens.
     #[serde(rename = "tokenAim")]
-    pub(super) inter_token_objectives_ms: Vec<f64>,
+    pub(crate) inter_token_objectives_ms: Vec<f64>,
 }
 
 /// What a kind of endpoint can do.
 #[derive(Deserialize, Clone, Copy)]
-pub(super) enum WireRole {
+pub(crate) enum WireRole {
     #[serde(rename = "read")]
     Prefill,
     #[serde(rename = "write")]
@@ -103,48 +103,48 @@
 
 /// The limits that the platform's rules set.
 #[derive(Deserialize)]
-pub(super) struct Invariants {
+pub(crate) struct Invariants {
     #[serde(rename = "answerSlack")]
-    pub(super) answer_slack_ms: f64,
+    pub(crate) answer_slack_ms: f64,
     #[serde(rename = "drainGrace")]
-    pub(super) drain_grace_ms: f64,
+    pub(crate) drain_grace_ms: f64,
     #[serde(rename = "fallMultiple")]
-    pub(super) overload_multiple: f64,
+    pub(crate) overload_multiple: f64,
     #[serde(rename = "overloadFor")]
-    pub(super) overload_window_ms: f64,
+    pub(crate) overload_window_ms: f64,
     #[serde(rename = "rampTime")]
-    pub(super) slow_start_duration_ms: f64,
+    pub(crate) slow_start_duration_ms: f64,
     #[serde(rename = "startCapacity")]
-    pub(super) initial_capacity: f64,
+    pub(crate) initial_capacity: f64,
 }
 
 /// A class of request.
 #[derive(Deserialize)]
-pub(super) struct Lane {
+pub(crate) struct Lane {
     #[serde(rename = "deadline")]
-    pub(super) deadline_ms: f64,
+    pub(crate) deadline_ms: f64,
     /// The endpoints that share the keys of a keyed class.
     #[serde(rename = "group")]
-    pub(super) scope: Option<WireScope>,
+    pub(crate) scope: Option<WireScope>,
     #[serde(rename = "lateWorth", default)]
-    pub(super) late_weight: f64,
-    pub(super) name: String,
+    pub(crate) late_weight: f64,
+    pub(crate) name: String,
     /// Time within which the first token earns the full weight.
     #[serde(rename = "objective")]
-    pub(super) first_token_objective_ms: f64,
+    pub(crate) first_token_objective_ms: f64,
     #[serde(rename = "semantics")]
-    pub(super) idempotency: WireIdempotency,
+    pub(crate) idempotency: WireIdempotency,
     /// How long the keys of a keyed class are known.
     #[serde(rename = "window")]
-    pub(super) window_ms: Option<f64>,
+    pub(crate) window_ms: Option<f64>,
     #[serde(rename = "worth")]
-    pub(super) priority_weight: f64,
+    pub(crate) priority_weight: f64,
 }
 
 /// The endpoints that together drop duplicates of a keyed request.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
-pub(super) enum WireScope {
+pub(crate) enum WireScope {
     All,
     Zone,
     Cell,
@@ -162,7 +162,7 @@
 
 /// What a second execution of a request does.
 #[derive(Deserialize)]
-pub(super) enum WireIdempotency {
+pub(crate) enum WireIdempotency {
     #[serde(rename = "read_like")]
     Idempotent,
     #[serde(rename = "idempotency_key")]
@@ -173,19 +173,19 @@
 
 /// What the deployment allows.
 #[derive(Deserialize)]
-pub(super) struct WireLimits {
+pub(crate) struct WireLimits {
     #[serde(rename = "cancelling")]
-    pub(super) cancellation: bool,
+    pub(crate) cancellation: bool,
     #[serde(rename = "maxAttempts")]
-    pub(super) max_attempts: u32,
+    pub(crate) max_attempts: u32,
     /// The longest `Retry-After` that clients heed.
     #[serde(rename = "maxRetryAfter")]
-    pub(super) max_retry_after_ms: Option<f64>,
+    pub(crate) max_retry_after_ms: Option<f64>,
     #[serde(rename = "mayDuplicate")]
-    pub(super) hedging: bool,
+    pub(crate) hedging: bool,
     #[serde(rename = "mayProbe")]
-    pub(super) health_checks: bool,
+    pub(crate) health_checks: bool,
     /// Clients heed `Retry-After` at all.
     #[serde(rename = "retryAfter")]
-    pub(super) retry_after: bool,
+    pub(crate) retry_after: bool,
 }
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -5,6 +5,7 @@
 use tokio::time::Instant;
 
 use crate::clock::Clock;
+use crate::config::settings::SettingNames;
 use crate::discovery::endpoint_ids::EndpointIds;
 use crate::discovery::endpoint_list::{DiscoveredEndpoint, DiscoveryState, EndpointList, EndpointRecord};
 use crate::discovery::start_times::StartTimes;
@@ -12,7 +13,6 @@
 use crate::scheduler::{
     CellId, EndpointId, EndpointUpdate, KindId, Lifecycle, Micros, Role, Settings, ZoneId,
 };
-use crate::simulator::SettingNames;
 use crate::upstream::connection_pool::EndpointAddress;
 
 /// What this replica knows of the endpoint list.
--- a/src/server/platform_api/headers.rs
+++ b/src/server/platform_api/headers.rs
@@ -6,8 +6,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::invalid_request::InvalidRequest;
+use crate::config::settings::SettingNames;
 use crate::scheduler::{CacheKey, ClassId, Micros, RequestSpec, TenantId};
-use crate::simulator::SettingNames;
 
 const REQUEST_ID: &str = "Request-Id";
 const REQUEST_CLASS: &str = "Request-Class";
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -4,9 +4,9 @@
 
 use super::error::{BatchError, EventError};
 use super::messages::{Batch, BatchReply, Inbox, Outbox, WireEvent};
-use super::settings::{SettingNames, settings_from_options};
 use super::translate::{command_from_action, event_from_wire};
-use super::units::micros_from_millis;
+use crate::clock::micros_from_millis;
+use crate::config::settings::{NamedSettings, SettingNames, settings_from_options};
 use crate::scheduler::{Action, Event, Micros, Scheduler};
 
 /// One simulated replica, from its launch to its destruction.
@@ -70,7 +70,7 @@
     ) -> Result<(), EventError> {
         match message {
             WireEvent::Launch { salt, options } => {
-                let (settings, names) = settings_from_options(&options)?;
+                let NamedSettings { settings, names } = settings_from_options(&options)?;
                 let scheduler = Scheduler::new(settings, salt);
                 self.replicas.insert(replica_id, Replica { scheduler, names });
                 events.clear();
--- a/src/simulator/messages.rs
+++ b/src/simulator/messages.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use super::settings_object::Options;
+use crate::config::settings::object::Options;
 use crate::scheduler::Lifecycle;
 
 /// One line of input: what happened at one moment to some of the replicas.
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -3,18 +3,13 @@
 //!
 //! `messages` holds the wire's types, `translate` turns them into the scheduler's events and its actions into
 //! commands, and `adapter` keeps a scheduler for each simulated replica. The settings object of the first
-//! message is also what a replica's configuration file holds: `settings_object` has its types and `settings`
-//! reads it.
+//! message is also what a replica's configuration file holds, so [`crate::config::settings`] reads it.
 
 mod adapter;
 mod error;
 mod messages;
-mod settings;
-mod settings_object;
 mod translate;
-mod units;
 
 pub use adapter::Adapter;
-pub use error::{BatchError, EventError, SettingsError, UnknownName};
-pub use settings::{SettingNames, settings_from};
+pub use error::{BatchError, EventError};
 pub use translate::action_text;
--- a/src/simulator/translate.rs
+++ b/src/simulator/translate.rs
@@ -3,10 +3,10 @@
 use serde_json::Value;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::error::{EventError, UnknownName};
+use super::error::EventError;
 use super::messages::{Call, Command, Element, UpdateForm, WireEvent, WireLoadReport, WireOutcome};
-use super::settings::SettingNames;
-use super::units::{micros_from_millis, millis_from_micros};
+use crate::clock::{micros_from_millis, millis_from_micros};
+use crate::config::settings::{SettingNames, UnknownName};
 use crate::scheduler::{
     Action, AttemptId, CacheKey, CellId, EndpointId, EndpointUpdate, Event, LoadReport, Outcome, RequestId,
     RequestSpec, TenantId,
