--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -1,65 +1,65 @@
-//! Actions: what the scheduler wants done.
+//! Actions: the output of the scheduler.
 
 use super::ids::{AttemptId, EndpointId, Micros, RequestId};
 
-/// What to do.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to an endpoint.
     Send {
-        /// Which request.
+        /// The request to send.
         request: RequestId,
-        /// To which endpoint.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Abort the attempt after this long without a first response.
+        /// Abort the attempt if there is no response within this time.
         timeout: Micros,
-        /// The attempt must begin within this time, or not at all: duplicates are dropped only for a while,
-        /// and what is reserved for the request waits meanwhile.
+        /// Start the attempt within this time or not at all: endpoints drop duplicates only for a limited
+        /// time, and the request's reservation must not be held too long.
         start_within: Option<Micros>,
     },
     /// Cancel an attempt.
     Cancel {
-        /// Which request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
     },
-    /// Final answer: rejected, a retry is harmless.
+    /// Final answer: the request was rejected and a retry is harmless.
     Reject {
-        /// Which request.
+        /// The request to answer.
         request: RequestId,
-        /// When the client should retry.
+        /// How long the client should wait before a retry.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, the request may have been executed.
+    /// Final answer: the request failed and may have been executed.
     Fail(RequestId),
-    /// Release everything that is reserved for the request.
+    /// Release all reservations of the request.
     ReleaseReservation(RequestId),
-    /// Reserve a slot for the request at a decode endpoint. No decision of the present scheduler asks for it.
+    /// Reserve a slot for the request at a decode endpoint. The scheduler does not currently emit this.
     ReserveAhead {
-        /// Which request.
+        /// The request to reserve the slot for.
         request: RequestId,
-        /// At which decode endpoint.
+        /// The decode endpoint.
         endpoint: EndpointId,
     },
-    /// End a running stream in order, to be resumed elsewhere. No decision of the present scheduler asks for
-    /// it.
+    /// End a running stream cleanly so that it can be resumed elsewhere. The scheduler does not currently
+    /// emit this.
     Migrate(RequestId),
     /// Check an endpoint's health and load.
     HealthCheck(EndpointId),
-    /// Close idle connections to an endpoint. No decision of the present scheduler asks for it.
+    /// Close idle connections to an endpoint. The scheduler does not currently emit this.
     CloseIdleConnections(EndpointId),
-    /// Fetch the complete endpoint list once. No decision of the present scheduler asks for it.
+    /// Fetch the complete endpoint list once. The scheduler does not currently emit this.
     FetchEndpoints,
     /// Watch the endpoint list.
     WatchEndpoints,
     /// Set a timer.
     SetTimer {
-        /// Comes back with [`Event::TimerFired`](super::Event::TimerFired).
+        /// Returned in [`Event::TimerFired`](super::Event::TimerFired).
         token: u64,
-        /// After this long.
+        /// Time until the timer fires.
         after: Micros,
     },
-    /// A line for the operators.
+    /// Write a message to the log.
     Log(String),
 }
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: when a waiting request goes to its endpoints.
+//! Admission: decides when a queued request is sent to its endpoints.
 
 use super::Scheduler;
 use super::action::Action;
@@ -13,17 +13,18 @@
 use super::retry::ATTEMPTS_FOR_PREFILL_AND_DECODE;
 use super::settings::Role;
 
-/// First requests of the upper tier that an admission draws from: enough to pass one that does not fit.
+/// Number of requests at the head of the objective tier that compete for admission; more than one, so that a
+/// request that does not fit does not block the others.
 const ADMISSION_WINDOW: usize = 4;
 
-/// A waiting request that can go, and its endpoints.
+/// A queued request that can be admitted, and the endpoints selected for it.
 struct Admission {
     entry: QueueEntry,
     pair: EndpointPair,
 }
 
 impl Scheduler {
-    /// Takes in a new request, or rejects one that the deployment cannot serve.
+    /// Queues a new request, or rejects one that the deployment cannot serve.
     pub(super) fn request_received(&mut self, now: Micros, spec: &RequestSpec, out: &mut Vec<Action>) {
         if !self.can_serve_any() || self.settings.classes.get(spec.class.0).is_none() {
             out.push(Action::Reject { request: spec.id, retry_after: None });
@@ -40,7 +41,8 @@
         self.query_prefill_queues(now, spec.id, out);
     }
 
-    /// Whether there are attempts for a prefill and a decode, or an endpoint that does both at once.
+    /// Whether the deployment allows enough attempts for a separate prefill and decode, or has a kind of
+    /// endpoint that does both in one attempt.
     fn can_serve_any(&self) -> bool {
         let capabilities = &self.settings.capabilities;
         let mut roles = self.settings.kinds.iter().map(|kind| kind.role);
@@ -58,8 +60,8 @@
         *mean += gain * (footprint_tokens - *mean);
     }
 
-    /// Admits from the upper tier while any of its first requests passes the test, then one from the lower
-    /// tier if the upper one is empty.
+    /// Admits requests of the objective tier until none in the admission window passes the check. If the tier
+    /// is then empty, admits one best-effort request.
     pub(super) fn admit_queued(&mut self, now: Micros, out: &mut Vec<Action>) {
         while let Some(admission) = self.next_within_objective(now) {
             self.queue.remove(Tier::Objective, &admission.entry);
@@ -71,8 +73,8 @@
         }
     }
 
-    /// The first that passes the test of the upper tier's window, in a random order: replicas with the same
-    /// knowledge should not all favour the same request.
+    /// Returns the first request in the admission window that passes the check. The order is random so that
+    /// replicas with the same state do not all favour the same request.
     fn next_within_objective(&self, now: Micros) -> Option<Admission> {
         let mut window: Vec<_> =
             self.queue.tier(Tier::Objective).iter().take(ADMISSION_WINDOW).copied().collect();
@@ -85,8 +87,8 @@
         })
     }
 
-    /// The first of the lower tier. One of its requests is in progress at a time, as late prefills make the
-    /// next ones late.
+    /// Returns the first best-effort request. Only one of them is in progress at a time, because a late
+    /// prefill delays the prefills behind it.
     fn next_best_effort(&self, now: Micros) -> Option<Admission> {
         let in_progress = |request: &Request| {
             let before_first_token =
@@ -101,8 +103,8 @@
         Some(Admission { entry, pair })
     }
 
-    /// Sends an admitted request to be prefilled, or to be prefilled and decoded at one endpoint. The decode
-    /// endpoint counts it from now on.
+    /// Sends an admitted request to its prefill endpoint, or to a decode endpoint that also prefills it. The
+    /// decode endpoint counts the request as a stream from now on.
     fn start(&mut self, now: Micros, id: RequestId, pair: EndpointPair, out: &mut Vec<Action>) {
         self.assign_decode_endpoint(id, pair.decode);
         let prefilled_at = pair.prefill.unwrap_or(pair.decode);
@@ -130,8 +132,8 @@
         self.send(now, id, prefill, expected, out);
     }
 
-    /// Microseconds that a prefill takes if nothing of the prompt is cached there after all: that it then
-    /// takes longer is no sign of a failure.
+    /// Expected microseconds for the prefill if none of the prompt is cached. A cache miss alone must not
+    /// make the attempt time out.
     fn expected_prefill_time(&self, now: Micros, id: RequestId, prefill: EndpointId) -> f64 {
         let request = &self.requests[&id];
         let cached_tokens = (request.spec.prompt_tokens - request.uncached_tokens).max(0.0);
--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: how a request is sent, and what follows from each outcome.
+//! Attempts: sending a request and handling the outcome.
 
 use super::Scheduler;
 use super::action::Action;
@@ -11,22 +11,22 @@
 };
 use super::retry::ATTEMPTS_FOR_PREFILL_AND_DECODE;
 
-/// Timeout of an attempt as a multiple of its expected time.
+/// Attempt timeout as a multiple of the expected time to the first response.
 const TIMEOUT_MULTIPLE: f64 = 4.0;
-/// Most of the time left that one attempt may use, so that another can follow.
+/// Maximum fraction of the remaining time that one attempt may use, so that a retry still fits.
 const MAX_ATTEMPT_SHARE: f64 = 0.6;
-/// Multiple of the expected time that this share must exceed: where all are slow, one attempt gets all the
-/// time.
+/// That maximum applies only if it exceeds this multiple of the expected time. When all endpoints are slow, a
+/// single attempt gets the whole remaining time.
 const MIN_TIMEOUT_MULTIPLE: f64 = 1.5;
-/// Decode endpoints that stay silent with the same KV cache before its prefill endpoint is taken to be the
-/// cause.
+/// Number of decode endpoints that may fail to respond with the same KV cache before the prefill endpoint is
+/// considered the cause.
 const MAX_FAILED_TRANSFERS: u32 = 2;
-/// Microseconds for which nothing is then prefilled there: a congested link takes long to drain.
+/// How long a prefill endpoint receives no prefills after that; a congested link takes long to drain.
 const TRANSFER_STALL_EJECTION: Micros = 4_000_000;
-/// Microseconds for which other endpoints are tried first after one that this replica could not send to.
+/// How long other endpoints are preferred after this replica could not send to one.
 const LOCALLY_UNREACHABLE_DURATION: Micros = 100_000;
 
-/// An attempt that has ended; see [`Event::AttemptFinished`](super::Event::AttemptFinished).
+/// A finished attempt; see [`Event::AttemptFinished`](super::Event::AttemptFinished).
 pub(super) struct AttemptResult {
     pub(super) request: RequestId,
     pub(super) endpoint: EndpointId,
@@ -37,7 +37,7 @@
 }
 
 impl Scheduler {
-    /// Sends a request to decode: with its reserved KV cache, or to prefill there too.
+    /// Sends a request to a decode endpoint, with its reserved KV cache or to be prefilled there as well.
     pub(super) fn send_to_decode(
         &mut self, now: Micros, id: RequestId, decode: EndpointId, out: &mut Vec<Action>,
     ) {
@@ -48,7 +48,8 @@
         self.send(now, id, decode, expected, out);
     }
 
-    /// Microseconds until the first token at a decode endpoint, with the prefill where it has to do that too.
+    /// Expected microseconds until the first token at a decode endpoint, including the prefill if it has to
+    /// be done there.
     fn expected_first_token_time(&self, now: Micros, request: &Request, decode: &EndpointState) -> f64 {
         let prefill_time = match request.reservation() {
             Some(_) => 0.0,
@@ -57,7 +58,7 @@
         self.first_token_time(now, decode) + prefill_time
     }
 
-    /// Sends a request whose first response is expected after so many microseconds.
+    /// Sends a request whose first response is expected after `expected` microseconds.
     pub(super) fn send(
         &mut self, now: Micros, id: RequestId, to: EndpointId, expected: f64, out: &mut Vec<Action>,
     ) {
@@ -67,7 +68,7 @@
         request.last_progress_at = now;
         let time_left = (request.deadline - now).max(1) as f64;
         let timeout = if request.spec.unary && endpoint.pool() == Pool::Decode {
-            // An answer in one piece gives no sign of life before its end, so its attempt may use all the
+            // A unary response gives no intermediate progress, so its attempt may use all of the remaining
             // time.
             time_left as Micros
         } else {
@@ -79,7 +80,7 @@
         out.push(Action::Send { request: id, endpoint: to, timeout: timeout.max(1), start_within });
     }
 
-    /// The first token of an answer is out.
+    /// Handles the first token of an answer.
     pub(super) fn first_token(&mut self, now: Micros, id: RequestId, at: EndpointId, elapsed: Micros) {
         self.record_success(now, at);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -95,7 +96,7 @@
         }
     }
 
-    /// An attempt ended: learns from it, and moves its request on.
+    /// Updates the estimates from a finished attempt and advances its request to the next state.
     pub(super) fn attempt_finished(&mut self, now: Micros, result: &AttemptResult, out: &mut Vec<Action>) {
         let sent_at = self.take_pending_attempt(now, result);
         if result.outcome == Outcome::TimedOut {
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Ends the wait for a first response; when the attempt was sent or, after that response, when that came.
+    /// Removes the attempt from the pending ones. Returns when it was sent or, if it had already produced a
+    /// first token, when that arrived.
     fn take_pending_attempt(&mut self, now: Micros, result: &AttemptResult) -> Micros {
         let endpoint = self.endpoints.get_mut(&result.endpoint);
         let sent_at = endpoint.and_then(|endpoint| endpoint.pending_attempts.remove(&result.request));
@@ -132,8 +134,8 @@
         sent_at.or(last_progress_at).unwrap_or(now)
     }
 
-    /// Counts a timeout as a latency: estimates by the attempts alone that came through congestion are too
-    /// low.
+    /// Records a timeout as a latency sample. Estimates from successful attempts alone are too low under
+    /// congestion.
     fn learn_from_timeout(&mut self, now: Micros, result: &AttemptResult) {
         let Some(request) = self.requests.get(&result.request) else { return };
         match request.state {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Records what the outcome says of the endpoint.
+    /// Updates the endpoint's health and the estimates according to the outcome.
     fn record_outcome(
         &mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>,
     ) {
@@ -179,7 +181,7 @@
         endpoint.remember_prefill(&request.spec, result.cached_tokens);
     }
 
-    /// Takes the request to its next state.
+    /// Advances the request to its next state.
     fn move_on(&mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>) {
         let id = result.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -188,14 +190,14 @@
                 request.state = RequestState::Prefilled(CacheReservation::new(prefill_endpoint, now));
             }
             (RequestState::Prefilling { .. }, _) => self.enqueue(id),
-            // A decode endpoint that stayed silent may have fetched the KV cache.
+            // A decode endpoint that did not respond in time may nevertheless have fetched the KV cache.
             (_, Outcome::StateMissing) => self.release_and_enqueue(id, out),
             (_, Outcome::Abandoned) => self.finish_unserved(id, out),
             _ => self.decode_attempt_failed(now, result, sent_at, out),
         }
     }
 
-    /// A decode attempt failed: its KV cache waits for the next attempt, if it is still of use.
+    /// Handles a failed decode attempt. The KV cache is kept for the next attempt if it is still usable.
     fn decode_attempt_failed(
         &mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>,
     ) {
@@ -206,12 +208,12 @@
         let transfer_stalled = self.eject_stalled_prefill_endpoint(now, id);
         self.record_possible_execution(result, sent_at);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        // A malformed answer had begun, so the KV cache has moved.
+        // A malformed response means that decoding had started, so the KV cache has already been transferred.
         let unusable = transfer_stalled || result.outcome == Outcome::Malformed;
         match request.reservation() {
             Some(mut reservation) if !unusable => {
-                // An attempt that did not reach its endpoint was not in flight: the KV cache waited all
-                // along.
+                // An attempt that did not reach its endpoint does not count as in flight, so the KV cache has
+                // been waiting all the time.
                 if result.outcome.reached_endpoint(result.elapsed) {
                     reservation.reserved_since = now;
                 }
@@ -226,7 +228,7 @@
         self.enqueue(id);
     }
 
-    /// A decode endpoint did not respond: the next attempt goes elsewhere.
+    /// Records that a decode endpoint did not respond, so that the next attempt goes elsewhere.
     fn record_silence(&mut self, id: RequestId, decode: EndpointId) {
         let silent_cell = self.endpoints.get(&decode).map(|endpoint| endpoint.cell);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -238,8 +240,8 @@
         self.unassign_decode_endpoint(id);
     }
 
-    /// Ejects a prefill endpoint that several decode endpoints could not fetch a KV cache from, if the
-    /// request has the attempts left to be prefilled elsewhere; whether it did.
+    /// Ejects a prefill endpoint whose KV cache several decode endpoints failed to fetch, provided that the
+    /// request has enough attempts left for another prefill. Returns whether it was ejected.
     fn eject_stalled_prefill_endpoint(&mut self, now: Micros, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(reservation) = request.reservation() else { return false };
@@ -252,7 +254,7 @@
         stalled
     }
 
-    /// Remembers the first attempt that may have executed the request.
+    /// Records the first attempt that may have executed the request.
     fn record_possible_execution(&mut self, result: &AttemptResult, sent_at: Micros) {
         let endpoint = self.endpoints.get(&result.endpoint);
         let site = endpoint.map(|endpoint| ExecutionSite { zone: endpoint.zone, cell: endpoint.cell });
@@ -263,8 +265,8 @@
     }
 }
 
-/// Microseconds after which an attempt is given up, so that a silent endpoint leaves time for another
-/// attempt.
+/// The attempt's timeout in microseconds; short enough that another attempt fits after an unresponsive
+/// endpoint.
 fn attempt_timeout(expected: f64, time_left: f64) -> Micros {
     let share = time_left * MAX_ATTEMPT_SHARE;
     let max_timeout = if share > expected * MIN_TIMEOUT_MULTIPLE { share } else { time_left };
--- a/src/scheduler/decode_capacity.rs
+++ b/src/scheduler/decode_capacity.rs
@@ -1,4 +1,5 @@
-//! The test of a decode endpoint: whether one more stream keeps the pace of all and fits into its memory.
+//! Capacity check for decode endpoints: whether one more stream fits into the memory and keeps all streams
+//! within their inter-token objectives.
 
 use super::Scheduler;
 use super::endpoint::EndpointState;
@@ -6,25 +7,27 @@
 use super::queue::Tier;
 use super::request::{Request, RequestState};
 
-/// Share of the wanted pace that is used: answer lengths are estimates and the speed curve lags behind.
+/// Target fraction of the inter-token objective; below 1 because output lengths are estimates and the speed
+/// curve lags behind the load.
 const PACE_HEADROOM: f64 = 0.9;
-/// Share of a decode endpoint's memory that is used: beyond it, the newest stream is evicted and prefilled
-/// anew.
+/// Target fraction of a decode endpoint's KV cache memory. When the memory is full, the endpoint evicts the
+/// newest stream, which must then be prefilled again.
 const MEMORY_HEADROOM: f64 = 0.9;
-/// Bound of a utilization, so that the room stays a finite number.
+/// Upper bound on a utilization, so that the headroom stays finite.
 const MAX_UTILIZATION: f64 = 1e6;
 
-/// What the first token must keep for a decode endpoint to pass.
+/// Limits that a decode endpoint must meet for a request to be admitted to it.
 #[derive(Clone, Copy)]
 pub(super) struct FirstTokenTest {
     /// Microseconds until the KV cache is ready.
     pub(super) ready_in: f64,
-    /// By when the first token must come.
+    /// Latest time for the first token.
     pub(super) limit: Micros,
 }
 
 impl FirstTokenTest {
-    /// The test of a waiting request, by its objective or, where that does not count any more, its deadline.
+    /// The check for a waiting request. The first token is due at the objective or, for a best-effort
+    /// request, at the deadline.
     pub(super) fn new(request: &Request, ready_in: f64) -> Self {
         let best_effort = matches!(request.state, RequestState::Queued(Tier::BestEffort));
         let limit = if best_effort { request.deadline } else { request.objective_at };
@@ -33,8 +36,9 @@
 }
 
 impl Scheduler {
-    /// The room that would be left at a decode endpoint, as a share. With a test, none unless the endpoint
-    /// keeps the pace of all its streams, has the memory, and gives the first token in time.
+    /// The fraction of capacity that would remain at a decode endpoint with this request added. With a check,
+    /// returns `None` unless the endpoint meets the objectives of all its streams, has enough memory and can
+    /// produce the first token in time.
     pub(super) fn room(
         &self, now: Micros, request: &Request, endpoint: &EndpointState, test: Option<FirstTokenTest>,
     ) -> Option<f64> {
@@ -50,7 +54,8 @@
         Some(1.0 - pace_utilization.max(memory_utilization).min(MAX_UTILIZATION))
     }
 
-    /// Time for each token with this request, against the strictest objective there.
+    /// Expected inter-token latency with this request added, relative to the strictest objective among the
+    /// endpoint's streams.
     fn pace_utilization(&self, now: Micros, request: &Request, endpoint: &EndpointState) -> f64 {
         let joins = !endpoint.streams.contains(&request.id());
         let streams = self.stream_count(now, endpoint) + if joins { 1.0 } else { 0.0 };
@@ -60,7 +65,7 @@
         pace / (objectives.fold(request.inter_token_objective, f64::min) * PACE_HEADROOM)
     }
 
-    /// Memory in use with this request, as a share of what may be used.
+    /// KV cache memory in use with this request added, as a fraction of the target.
     fn memory_utilization(&self, now: Micros, request: &Request, endpoint: &EndpointState) -> f64 {
         let joins = !endpoint.streams.contains(&request.id());
         let added_tokens = if joins { request.footprint_tokens } else { 0.0 };
@@ -69,19 +74,20 @@
         tokens / (endpoint.memory_tokens * MEMORY_HEADROOM).max(1.0)
     }
 
-    /// All streams at a decode endpoint: this replica's, and the others' by the memory that they use.
+    /// Number of streams at a decode endpoint: this replica's own, plus an estimate of the other replicas'
+    /// streams from the memory that they use.
     pub(super) fn stream_count(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let external = self.external_tokens(now, endpoint) / self.estimates.request_footprint.max(1.0);
         endpoint.streams.len() as f64 + external
     }
 
-    /// This replica's requests that a decode endpoint counts.
+    /// This replica's requests that are assigned to a decode endpoint.
     pub(super) fn own_streams(&self, endpoint: &EndpointState) -> impl Iterator<Item = &Request> {
         endpoint.streams.iter().filter_map(|id| self.requests.get(id))
     }
 
-    /// Tokens of other replicas' requests at a decode endpoint: its last report, decaying towards the fleet's
-    /// mean.
+    /// Estimated tokens of other replicas' requests at a decode endpoint: the last reported value, decaying
+    /// towards the fleet mean.
     fn external_tokens(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let mean = if endpoint.memory_tokens.is_finite() {
             self.estimates.external_share * endpoint.memory_tokens
--- a/src/scheduler/decode_selection.rs
+++ b/src/scheduler/decode_selection.rs
@@ -1,4 +1,4 @@
-//! Which decode endpoint a request goes to.
+//! Selection of the decode endpoint for a request.
 
 use super::Scheduler;
 use super::action::Action;
@@ -9,29 +9,30 @@
 use super::request::{CacheReservation, Request, RequestState};
 use super::retry::FINAL_ANSWER_MARGIN;
 
-/// Power of a decode endpoint's room in its weight: mostly the one with the most room, but not for every
-/// replica.
+/// Exponent of the headroom in a decode endpoint's weight. Favours the endpoint with the most headroom
+/// without sending all replicas to it.
 const ROOM_EXPONENT: f64 = 4.0;
-/// Weight of a decode endpoint in another zone, against 1 in the same: transfers across zones cost more.
+/// Weight of a decode endpoint in another zone, relative to 1 in the same zone; transfers between zones cost
+/// more.
 const OTHER_ZONE_WEIGHT: f64 = 0.25;
-/// Share of the reservation limit after which a KV cache goes to a decode endpoint that fails the test.
+/// Fraction of the reservation limit after which a KV cache may go to a decode endpoint that fails the check.
 const UNTESTED_DECODE_SHARE: f64 = 0.4;
-/// Share of the reservation limit after which a KV cache is released: what is sent later could not begin in
-/// time.
+/// Fraction of the reservation limit after which a KV cache is released; an attempt sent later could not
+/// start in time.
 const RELEASE_SHARE: f64 = 0.8;
 
-/// What a decode endpoint is chosen for.
+/// Criteria for selecting a decode endpoint.
 #[derive(Clone, Copy)]
 pub(super) struct DecodeChoice<'a> {
     pub(super) now: Micros,
     pub(super) request: &'a Request,
-    /// Where the KV cache is or will be; none if the decode endpoint prefills by itself.
+    /// The endpoint that has or will have the KV cache; `None` if the decode endpoint also prefills.
     pub(super) prefill: Option<&'a EndpointState>,
-    /// None if any endpoint that takes the request will do.
+    /// The check to pass; `None` to allow any eligible endpoint.
     pub(super) test: Option<FirstTokenTest>,
 }
 
-/// How near to its KV cache a decode endpoint must be.
+/// Whether a decode endpoint must be in the same cell as the KV cache.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Reach {
     SameCell,
@@ -39,8 +40,8 @@
 }
 
 impl Scheduler {
-    /// A decode endpoint that is eligible and passes the test, drawn at random with more weight for more
-    /// room, so that replicas with the same knowledge do not all choose the same one.
+    /// Selects an eligible decode endpoint that passes the check. The draw is random and weighted by
+    /// headroom, so that replicas with the same state do not all select the same endpoint.
     pub(super) fn choose_decode(
         &self, choice: &DecodeChoice<'_>, eligible: impl Fn(&EndpointState) -> bool,
     ) -> Option<EndpointId> {
@@ -54,8 +55,8 @@
         scored.max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 
-    /// The endpoint's score in the draw; none if it fails the test. One without room is behind all that have
-    /// some.
+    /// The endpoint's score in the weighted draw, or `None` if it fails the check. An endpoint without
+    /// headroom scores below every endpoint that has some.
     fn decode_score(&self, choice: &DecodeChoice<'_>, endpoint: &EndpointState) -> Option<f64> {
         let request = choice.request;
         let room = self.room(choice.now, request, endpoint, choice.test)?;
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Sends the prefilled requests on, and releases the KV caches that no decode endpoint takes in time.
+    /// Sends prefilled requests to decode endpoints and releases KV caches that no decode endpoint can take
+    /// in time.
     pub(super) fn send_prefilled(&mut self, now: Micros, out: &mut Vec<Action>) {
         let is_prefilled = |request: &&Request| matches!(request.state, RequestState::Prefilled(_));
         let prefilled: Vec<_> = self.requests.values().filter(is_prefilled).map(Request::id).collect();
@@ -97,28 +99,28 @@
         }
     }
 
-    /// Whether a KV cache has to be released as no further attempt could use it in time.
+    /// Whether a KV cache must be released because no further attempt could use it in time.
     fn must_release(&self, now: Micros, request: &Request, reservation: CacheReservation) -> bool {
         request.attempts() >= self.settings.capabilities.max_attempts
             || now >= request.deadline - FINAL_ANSWER_MARGIN
             || self.reserved_share(now, reservation) >= RELEASE_SHARE
     }
 
-    /// Time that a KV cache has been reserved, as a share of the reservation limit.
+    /// Time for which a KV cache has been reserved, as a fraction of the reservation limit.
     fn reserved_share(&self, now: Micros, reservation: CacheReservation) -> f64 {
         let reserved_for = (now - reservation.reserved_since) as f64;
         reserved_for / self.settings.rules.reservation_limit.max(1) as f64
     }
 
-    /// The decode endpoint for a reserved KV cache: the one that it was admitted with if that still passes
-    /// the test, else one in another cell than a silent one, else one nearby, and after a while one that
-    /// fails the test.
+    /// Selects the decode endpoint for a reserved KV cache. In order of preference: the endpoint assigned at
+    /// admission, one outside the cell of an unresponsive endpoint, the nearest one and, after a while, the
+    /// nearest one even if it fails the check.
     fn decode_for_reservation(
         &self, now: Micros, request: &Request, reservation: CacheReservation, earliest_first_token: Micros,
     ) -> Option<EndpointId> {
         let mut test = FirstTokenTest::new(request, 0.0);
         if earliest_first_token > request.objective_at {
-            // Waiting gains nothing once the objective is missed.
+            // The objective can no longer be met, so there is no benefit in waiting for it.
             test.limit = request.deadline;
         }
         let prefill = self.endpoints.get(&reservation.prefill_endpoint);
@@ -133,14 +135,14 @@
             })
     }
 
-    /// An endpoint in another cell than the one that last stayed silent: congestion and packet loss mostly
-    /// concern its neighbours too.
+    /// Selects an endpoint outside the cell of the last unresponsive one, because congestion and packet loss
+    /// mostly affect the whole cell.
     fn choose_away_from_silent_cell(&self, choice: &DecodeChoice<'_>) -> Option<EndpointId> {
         let silent_cell = choice.request.silent_cell?;
         self.choose_decode(choice, |endpoint| endpoint.cell != silent_cell)
     }
 
-    /// An endpoint in the cell of the KV cache, else anywhere.
+    /// Selects an endpoint in the same cell as the KV cache, otherwise in any cell.
     fn choose_nearest(&self, choice: &DecodeChoice<'_>) -> Option<EndpointId> {
         let choose = |reach: Reach| {
             self.choose_decode(choice, |endpoint| {
@@ -150,7 +152,7 @@
         choose(Reach::SameCell).or_else(|| choose(Reach::AnyCell))
     }
 
-    /// Lets a decode endpoint count the request as one of its streams.
+    /// Assigns the request to a decode endpoint, which counts it as one of its streams.
     pub(super) fn assign_decode_endpoint(&mut self, id: RequestId, decode: EndpointId) {
         self.unassign_decode_endpoint(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -159,7 +161,7 @@
         endpoint.streams.insert(id);
     }
 
-    /// Undoes [`assign_decode_endpoint`](Self::assign_decode_endpoint).
+    /// Reverses [`assign_decode_endpoint`](Self::assign_decode_endpoint).
     pub(super) fn unassign_decode_endpoint(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(decode) = request.decode_endpoint.take() else { return };
@@ -169,8 +171,8 @@
     }
 }
 
-/// Weight of a decode endpoint by its distance: a KV cache that leaves its cell goes where decode endpoints
-/// have capacity to spare, mostly in the same zone.
+/// Weight of a decode endpoint by its distance from the KV cache. Transfers to other cells favour cells with
+/// spare decode capacity, mostly in the same zone.
 fn locality_weight(prefill: &EndpointState, decode: &EndpointState) -> f64 {
     if prefill.cell == decode.cell {
         1.0
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint may be sent a request now.
+//! Eligibility: whether an endpoint may currently be sent a request.
 
 use super::Scheduler;
 use super::endpoint::{BackpressureKey, EndpointState};
@@ -6,7 +6,7 @@
 use super::request::Request;
 
 impl Scheduler {
-    /// Whether an endpoint may be sent the request now, as far as this replica knows.
+    /// Whether the endpoint may currently be sent the request, as far as this replica knows.
     pub(super) fn accepts(&self, now: Micros, endpoint: &EndpointState, request: &Request) -> bool {
         let reachable = request
             .locally_unreachable
@@ -26,7 +26,8 @@
     }
 }
 
-/// After a failure, an endpoint is sent one attempt at a time until one succeeds.
+/// Whether an attempt is in flight at an endpoint that has failed. Such an endpoint gets one attempt at a
+/// time until one succeeds, like a half-open circuit breaker.
 fn is_on_trial(endpoint: &EndpointState) -> bool {
     endpoint.consecutive_failures > 0 && !endpoint.pending_attempts.is_empty()
 }
--- a/src/scheduler/endpoint.rs
+++ b/src/scheduler/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint.
+//! State of one endpoint as known to this replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,24 +8,24 @@
 use super::settings::{EndpointKind, Role};
 use super::slow_start::SlowStartBudget;
 
-/// Most prefixes and sessions remembered for one endpoint: bounds the memory used.
+/// Maximum number of prefixes and sessions tracked per endpoint; bounds the memory used.
 const MAX_CACHED_PREFIXES: usize = 2_000;
 
-/// The half of the fleet that an endpoint serves in. Mixed endpoints are in the decode pool.
+/// The pool that an endpoint belongs to. Mixed endpoints belong to the decode pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Pool {
     Prefill,
     Decode,
 }
 
-/// The requests that a rejection speaks for.
+/// The class and tenant that a rejection applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct BackpressureKey {
     pub(super) class: ClassId,
     pub(super) tenant: Option<TenantId>,
 }
 
-/// What this replica knows of one endpoint.
+/// State of one endpoint as known to this replica.
 #[derive(Default)]
 pub(super) struct EndpointState {
     pub(super) id: EndpointId,
@@ -33,14 +33,14 @@
     pub(super) cell: CellId,
     pub(super) kind: KindId,
     pub(super) role: Role,
-    /// KV cache memory in tokens; infinite where it is not known.
+    /// KV cache capacity in tokens; infinite if unknown.
     pub(super) memory_tokens: f64,
     pub(super) lifecycle: Lifecycle,
-    /// When it last started, as the list says or its failures suggest; none for long ago.
+    /// Last start, from the endpoint list or inferred from failures; `None` if long ago.
     pub(super) started_at: Option<Micros>,
     pub(super) slow_start: SlowStartBudget,
 
-    /// Share of its own KV caches that its cell's decode endpoints can take.
+    /// Fraction of the endpoint's KV caches that the decode endpoints of its cell can take.
     pub(super) local_capacity_ratio: f64,
     /// Weight of a decode endpoint for KV caches from other cells.
     pub(super) remote_capacity_weight: f64,
@@ -48,36 +48,37 @@
     pub(super) consecutive_failures: u32,
     pub(super) failed_at: Micros,
     pub(super) ejected_until: Micros,
-    /// Until when a prefill endpoint is not used, as decode endpoints could not fetch its KV caches.
+    /// A prefill endpoint is not used until then because decode endpoints could not fetch its KV caches.
     pub(super) transfer_stalled_until: Micros,
-    /// Malformed responses in a row.
+    /// Consecutive malformed responses.
     pub(super) malformed_responses: u32,
     pub(super) backpressure_until: BTreeMap<BackpressureKey, Micros>,
 
-    /// Attempts without a first response, by the time they were sent.
+    /// Attempts that wait for a first response, and when they were sent.
     pub(super) pending_attempts: BTreeMap<RequestId, Micros>,
-    /// Requests that it decodes or has been chosen to decode.
+    /// Requests that are being decoded at this endpoint or are assigned to it for decoding.
     pub(super) streams: BTreeSet<RequestId>,
-    /// Prompt tokens by session or prefix that should be in its cache.
+    /// Prompt tokens expected in the endpoint's cache, by session or prefix.
     cached_prefixes: BTreeMap<CacheKey, f64>,
-    /// Microseconds that a prefill takes beyond its own tokens: prefills of other replicas come first.
+    /// Microseconds that a prefill takes in addition to its own tokens, because prefills of other replicas
+    /// are queued before it.
     pub(super) prefill_wait: DecayingAverage,
-    /// Microseconds from a send to the first token.
+    /// Microseconds from sending a request to its first token.
     pub(super) first_token_latency: DecayingAverage,
 
-    /// Tokens of other replicas' requests, by its reports.
+    /// Tokens of other replicas' requests, derived from load reports.
     pub(super) external_tokens: Option<DecayingAverage>,
-    /// Prompt tokens queued there, by its last report of them.
+    /// Prompt tokens queued, from the last load report that contained them.
     pub(super) queued_prefill_tokens: f64,
-    /// When it last reported these.
+    /// When the queued tokens were last reported.
     pub(super) queue_reported_at: Micros,
-    /// In the decode pool, when its next health check is due; of a prefill endpoint, when it was last
+    /// For a decode endpoint, when the next health check is due; for a prefill endpoint, when it was last
     /// checked.
     pub(super) health_check_at: Micros,
 }
 
 impl EndpointState {
-    /// An endpoint that the list names for the first time.
+    /// Creates the state of an endpoint that is new in the list.
     pub(super) fn new(update: &EndpointUpdate, kind: &EndpointKind) -> Self {
         EndpointState {
             id: update.endpoint,
@@ -97,22 +98,22 @@
         }
     }
 
-    /// Whether it takes new work, as the list says.
+    /// Whether the endpoint accepts new work according to the endpoint list.
     pub(super) fn is_ready(&self) -> bool {
         self.lifecycle == Lifecycle::Ready
     }
 
-    /// Whether it has left the list and nothing of this replica's is in flight there.
+    /// Whether the endpoint was removed from the list and this replica has nothing in flight there.
     pub(super) fn is_forgettable(&self) -> bool {
         self.lifecycle == Lifecycle::Removed && self.streams.is_empty() && self.pending_attempts.is_empty()
     }
 
-    /// Microseconds that the oldest attempt has waited for its first response.
+    /// Microseconds since the oldest attempt that still waits for its first response was sent.
     pub(super) fn oldest_pending(&self, now: Micros) -> f64 {
         self.pending_attempts.values().min().map_or(0.0, |&sent_at| (now - sent_at) as f64)
     }
 
-    /// Tokens of the prompt that should be in its cache.
+    /// Prompt tokens of the request expected in the endpoint's cache.
     pub(super) fn cached_tokens(&self, spec: &RequestSpec) -> f64 {
         let cached = |key: Option<CacheKey>| {
             key.and_then(|key| self.cached_prefixes.get(&key)).copied().unwrap_or(0.0)
@@ -122,15 +123,15 @@
         of_prefix.max(of_session)
     }
 
-    /// Records that the shared prefix is in its cache.
+    /// Records that the request's shared prefix is cached.
     pub(super) fn remember_prefix(&mut self, spec: &RequestSpec) {
         if let Some(prefix) = spec.prefix {
             self.cached_prefixes.insert(prefix, spec.prefix_tokens);
         }
     }
 
-    /// Records what its cache has after a prefill that found `found_tokens` there. If that was far less than
-    /// expected, the cache was lost or evicted, and nothing in it is relied on until it is prefilled again.
+    /// Records the cache contents after a prefill that found `found_tokens` in the cache. If that is less
+    /// than half of the expected tokens, the cache was lost or evicted, so all earlier entries are discarded.
     pub(super) fn remember_prefill(&mut self, spec: &RequestSpec, found_tokens: f64) {
         let lost = found_tokens < self.cached_tokens(spec) / 2.0;
         if lost || self.cached_prefixes.len() >= MAX_CACHED_PREFIXES {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Records that its cache is empty.
+    /// Discards all expected cache contents.
     pub(super) fn forget_cache(&mut self) {
         self.cached_prefixes.clear();
     }
--- a/src/scheduler/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates of latency, and what they are learned from.
+//! Latency estimates and the samples that update them.
 
 use super::Scheduler;
 use super::decaying_average::{DecayingAverage, FLEET_GAIN};
@@ -8,38 +8,38 @@
 use super::prefill_selection::AFFINITY_ENDPOINTS;
 use super::request::Request;
 
-/// Tokens added to each prefill for the part of its time that does not depend on its length.
+/// Tokens added to each prefill for its fixed cost.
 pub(super) const PREFILL_OVERHEAD_TOKENS: f64 = 300.0;
-/// Microseconds added where an endpoint may not respond at all: to each timeout, so that short expectations
-/// leave room for a handshake and a retransmission, and to the queue of an endpoint that has left a query
-/// unanswered.
+/// Microseconds added in case an endpoint does not respond. Every timeout includes it, so that short
+/// estimates leave time for a handshake and a retransmission. It is also added to the queue time of an
+/// endpoint that has not answered a load query.
 pub(super) const SILENCE_ALLOWANCE: f64 = 300_000.0;
-/// Microseconds to prefill one token, until prefills have been seen.
+/// Microseconds to prefill one token, before the first sample.
 const INITIAL_PREFILL_COST: f64 = 80.0;
-/// Microseconds from a send to the first token, until first tokens have been seen.
+/// Microseconds from sending a request to its first token, before the first sample.
 const INITIAL_FIRST_TOKEN_LATENCY: f64 = 100_000.0;
-/// Part of a prompt's prefix that is cached at its first affinity endpoint, until prefills have been seen.
+/// Expected fraction of a prefix in the cache of its first affinity endpoint, before the first sample.
 const INITIAL_FIRST_CACHE_HIT_RATIO: f64 = 1.0;
-/// The same at its other affinity endpoints.
+/// Expected fraction of a prefix in the cache of its other affinity endpoints, before the first sample.
 const INITIAL_OTHER_CACHE_HIT_RATIO: f64 = 0.5;
-/// Weight of a new sample in an endpoint's average: a few requests are enough.
+/// Weight of a new sample in an endpoint's average; a few requests suffice for it to converge.
 const ENDPOINT_GAIN: f64 = 0.25;
-/// Most relative rise of the prefill cost by one sample: a slower one has mostly waited, too.
+/// Maximum relative increase of the prefill cost per sample; most of a longer time was spent queued.
 const MAX_PREFILL_COST_RISE: f64 = 0.1;
 
-/// What is known of the fleet in total.
+/// Estimates for the whole fleet.
 pub(super) struct FleetEstimates {
-    /// Microseconds to prefill one token at an endpoint with nothing queued.
+    /// Microseconds to prefill one token at an endpoint with an empty queue.
     pub(super) prefill_cost_per_token: f64,
-    /// Mean microseconds that a prefill waits.
+    /// Mean microseconds that a prefill spends queued.
     pub(super) prefill_wait: DecayingAverage,
-    /// Mean microseconds from a send to the first token.
+    /// Mean microseconds from sending a request to its first token.
     pub(super) first_token_latency: DecayingAverage,
-    /// Mean tokens of a request, prompt and answer.
+    /// Mean tokens per request, prompt and answer.
     pub(super) request_footprint: f64,
-    /// Mean share of a decode endpoint's memory that other replicas' requests use.
+    /// Mean fraction of a decode endpoint's memory that other replicas' requests use.
     pub(super) external_share: f64,
-    /// Mean part of a prompt's prefix that was cached, by the endpoint's rank in the affinity order.
+    /// Mean fraction of a prefix found in the cache, by the endpoint's rank in the affinity order.
     pub(super) cache_hit_ratio: [f64; AFFINITY_ENDPOINTS],
 }
 
@@ -59,15 +59,15 @@
 }
 
 impl Scheduler {
-    /// Microseconds until the first token of an attempt at a decode endpoint; one that already waits longer
-    /// counts.
+    /// Expected microseconds until the first token of an attempt at a decode endpoint; at least as long as
+    /// the oldest pending attempt there has waited.
     pub(super) fn first_token_time(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let fleet = self.estimates.first_token_latency.last();
         endpoint.first_token_latency.get(now, fleet).max(endpoint.oldest_pending(now))
     }
 
-    /// Microseconds until an endpoint would have prefilled the prompt, after this replica's prefills before
-    /// it.
+    /// Expected microseconds until an endpoint has prefilled the prompt, including this replica's earlier
+    /// prefills there; at least as long as the oldest pending attempt there has waited.
     pub(super) fn prefill_time(&self, now: Micros, endpoint: &EndpointState, request: &Request) -> f64 {
         let cost = self.estimates.prefill_cost_per_token / endpoint.warmup_factor(now, &self.settings.rules);
         let wait = self.prefill_queue_time(now, endpoint, cost);
@@ -76,8 +76,8 @@
         (wait + tokens * cost).max(endpoint.oldest_pending(now))
     }
 
-    /// Microseconds that other replicas' prefills take there first: by a fresh report, else by the prefills
-    /// before.
+    /// Expected microseconds of queued prefills from other replicas, from a recent load report or otherwise
+    /// from earlier prefills.
     fn prefill_queue_time(&self, now: Micros, endpoint: &EndpointState, cost: f64) -> f64 {
         let report_age = now - endpoint.queue_reported_at;
         let wait = if report_age < LOAD_REPORT_LIFETIME {
@@ -85,7 +85,7 @@
         } else {
             endpoint.prefill_wait.get(now, self.estimates.prefill_wait.last())
         };
-        // Queried after its last report and still silent: it may not respond at all.
+        // The endpoint has not answered the last query and may be unresponsive.
         let query_age = now - endpoint.health_check_at;
         let query_unanswered =
             report_age > query_age && now < endpoint.health_check_at + LOAD_REPORT_LIFETIME;
@@ -99,8 +99,8 @@
         prefills.map(|request| request.uncached_tokens + PREFILL_OVERHEAD_TOKENS).sum()
     }
 
-    /// Prompt tokens that an endpoint has to prefill. Where the prefix has an affinity, other replicas have
-    /// mostly prefilled it already.
+    /// Prompt tokens that an endpoint has to prefill. At the affinity endpoints of a prefix, another replica
+    /// has usually prefilled it already.
     pub(super) fn uncached_tokens(&self, endpoint: &EndpointState, request: &Request) -> f64 {
         let expected = request
             .affinity_rank(endpoint.id)
@@ -108,7 +108,7 @@
         request.spec.prompt_tokens - endpoint.cached_tokens(&request.spec).max(expected)
     }
 
-    /// Learns from the latency of a first token, or from a timeout, which is a lower bound of it.
+    /// Records the latency of a first token, or the duration of a timed-out attempt as a lower bound of it.
     pub(super) fn learn_first_token_latency(&mut self, now: Micros, id: EndpointId, elapsed: Micros) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let fleet = &mut self.estimates.first_token_latency;
@@ -116,8 +116,8 @@
         fleet.learn_fleet(now, elapsed as f64);
     }
 
-    /// Learns from a prefill of `uncached_tokens`, or from a timeout, which is a lower bound: it took
-    /// `elapsed` for these and for this replica's prefills before it.
+    /// Records the duration of a prefill of `uncached_tokens`, or of a timed-out one as a lower bound. The
+    /// duration covers these tokens and this replica's earlier prefills at the endpoint.
     pub(super) fn learn_own_prefill(
         &mut self, now: Micros, id: RequestId, at: EndpointId, uncached_tokens: f64, elapsed: Micros,
     ) {
@@ -126,8 +126,8 @@
         self.learn_prefill_time(now, at, tokens.max(PREFILL_OVERHEAD_TOKENS), elapsed as f64);
     }
 
-    /// Learns from the time of a prefill. What it took beyond its tokens was a wait for other replicas'
-    /// prefills, which does not grow with the prompt.
+    /// Records the duration of a prefill. Time beyond the cost of its tokens is queueing behind other
+    /// replicas' prefills, which does not depend on the prompt.
     pub(super) fn learn_prefill_time(&mut self, now: Micros, id: EndpointId, tokens: f64, elapsed: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let fleet = &mut self.estimates;
@@ -140,7 +140,7 @@
         fleet.prefill_wait.learn_fleet(now, wait);
     }
 
-    /// Learns how much of a prefix an affinity endpoint had in its cache.
+    /// Records the fraction of a prefix that an affinity endpoint had in its cache.
     pub(super) fn learn_cache_hit_ratio(&mut self, id: RequestId, at: EndpointId, cached_tokens: f64) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.spec.prefix.is_none() {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Learns the speed of the endpoint's kind from a completed stream.
+    /// Updates the speed curve of the endpoint's kind from a completed stream.
     pub(super) fn learn_speed(&mut self, now: Micros, id: RequestId, at: EndpointId) {
         let Some(request) = self.requests.get(&id).filter(|request| request.is_streaming()) else { return };
         let Some(endpoint) = self.endpoints.get(&at) else { return };
--- a/src/scheduler/event.rs
+++ b/src/scheduler/event.rs
@@ -1,4 +1,4 @@
-//! Events: what the scheduler is notified of.
+//! Events: the input of the scheduler.
 
 use super::ids::{
     AttemptId, CacheKey, CellId, ClassId, EndpointId, KindId, Micros, RequestId, TenantId, ZoneId,
@@ -8,144 +8,145 @@
 /// Whether an endpoint may be sent new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes new work.
+    /// Accepts new work.
     #[default]
     Ready,
-    /// It finishes what it has.
+    /// Finishes its current work and accepts no more.
     Draining,
-    /// It has left the fleet.
+    /// Has left the fleet.
     Removed,
 }
 
-/// One entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointUpdate {
-    /// Which endpoint.
+    /// The endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The endpoint's cell.
     pub cell: CellId,
-    /// Its kind.
+    /// The endpoint's kind.
     pub kind: KindId,
-    /// Whether it takes new work.
+    /// Whether the endpoint accepts new work.
     pub lifecycle: Lifecycle,
-    /// When it last started; none for long ago.
+    /// When the endpoint last started; `None` if long ago.
     pub started_at: Option<Micros>,
 }
 
-/// An endpoint's own report of its load; each value only where the deployment has it.
+/// Load reported by an endpoint. Values that the deployment does not provide are `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: Option<f64>,
-    /// Requests queued.
+    /// Number of requests queued.
     pub queued_requests: Option<f64>,
-    /// Share of slots in use, from 0 to 1.
+    /// Fraction of slots in use, from 0 to 1.
     pub slot_utilization: Option<f64>,
-    /// Recent time to the end of a prefill or to the first token.
+    /// Recent latency until the end of a prefill or the first token.
     pub recent_latency: Option<Micros>,
-    /// Share of KV cache memory in use, from 0 to 1.
+    /// Fraction of KV cache memory in use, from 0 to 1.
     pub memory_utilization: Option<f64>,
-    /// Prompt tokens queued to be prefilled or fetched.
+    /// Prompt tokens waiting to be prefilled or fetched.
     pub queued_prefill_tokens: Option<f64>,
 }
 
 /// A new request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestSpec {
-    /// Which request.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// The request's tenant, if the deployment has tenants.
     pub tenant: Option<TenantId>,
-    /// Its session.
+    /// The session that the request belongs to.
     pub session: Option<CacheKey>,
-    /// The prompt prefix that it shares with other sessions.
+    /// The prompt prefix shared with other sessions.
     pub prefix: Option<CacheKey>,
-    /// Tokens of that prefix.
+    /// Number of tokens in the shared prefix.
     pub prefix_tokens: f64,
-    /// Tokens of the complete prompt.
+    /// Number of tokens in the whole prompt.
     pub prompt_tokens: f64,
-    /// Most tokens it may produce.
+    /// Maximum number of output tokens.
     pub max_output_tokens: f64,
-    /// An estimate of its stream time at the inter-token objective.
+    /// Estimated duration of the stream at the inter-token objective.
     pub stream_duration_hint: Option<Micros>,
-    /// Time until the client gives up this try.
+    /// Time until the client abandons this try.
     pub client_timeout: Micros,
-    /// A client's marked retry of an earlier try.
+    /// Whether the client marked this as a retry of an earlier try.
     pub is_retry: bool,
-    /// It resumes a stream that broke or was migrated.
+    /// Whether this resumes a stream that broke or was migrated.
     pub is_resumption: bool,
-    /// Its answer is one response, not a stream, so there is no sign of a first token.
+    /// Whether the answer is a single response instead of a stream. There is no first-token event then.
     pub unary: bool,
 }
 
-/// What happened.
+/// An event that the scheduler has to handle.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list or a part of it changed.
+    /// The endpoint list changed.
     EndpointsChanged {
-        /// The list is complete: endpoints that it does not name are removed. Otherwise it is a delta.
+        /// Whether `updates` is the complete list, so that endpoints missing from it are removed. Otherwise
+        /// it is a delta.
         snapshot: bool,
-        /// The entries.
+        /// The new or changed entries.
         updates: Vec<EndpointUpdate>,
     },
     /// The watch on the endpoint list could not be opened or has ended.
     WatchFailed,
     /// A request arrived.
     RequestReceived(RequestSpec),
-    /// The first token of an answer is out.
+    /// The first token of an answer was received.
     FirstToken {
-        /// Which request.
+        /// The request being answered.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt that produced the token.
         attempt: AttemptId,
-        /// At which endpoint.
+        /// The endpoint that produced the token.
         endpoint: EndpointId,
         /// Time since the attempt was sent.
         elapsed: Micros,
     },
     /// An attempt ended.
     AttemptFinished {
-        /// Which request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
-        /// At which endpoint.
+        /// The endpoint that the attempt was sent to.
         endpoint: EndpointId,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The request has its final answer.
+        /// Whether the request has received its final answer.
         is_final: bool,
-        /// Prompt tokens that were found in the endpoint's cache.
+        /// Prompt tokens found in the endpoint's cache.
         cached_tokens: f64,
         /// Time since the attempt was sent.
         elapsed: Micros,
-        /// The endpoint's load report, where one came along.
+        /// The endpoint's load report, if the response included one.
         load_report: Option<LoadReport>,
     },
-    /// The answer to [`Action::ReserveAhead`](super::Action::ReserveAhead).
+    /// Result of [`Action::ReserveAhead`](super::Action::ReserveAhead).
     ReservationResult {
-        /// Which request.
+        /// The request that the slot is for.
         request: RequestId,
-        /// At which endpoint.
+        /// The endpoint that was asked.
         endpoint: EndpointId,
-        /// The slot is reserved.
+        /// Whether the slot was reserved.
         reserved: bool,
     },
-    /// The client disconnected; nothing more is owed.
+    /// The client disconnected, so no answer is needed.
     ClientDisconnected(RequestId),
     /// A health check ended.
     HealthChecked {
-        /// Which endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// The endpoint's load report.
+        /// The endpoint's load report, if the response included one.
         load_report: Option<LoadReport>,
     },
-    /// A timer fired; its token as it was set.
+    /// The timer with this token fired.
     TimerFired(u64),
 }
--- a/src/scheduler/ids.rs
+++ b/src/scheduler/ids.rs
@@ -1,6 +1,6 @@
-//! Identifiers and the unit of time that the scheduler's interface shares.
+//! Identifiers and the time unit of the scheduler's interface.
 
-/// A moment or a duration, in whole microseconds on the caller's monotonic clock.
+/// A point in time or a duration in whole microseconds, on the caller's monotonic clock.
 pub type Micros = i64;
 
 macro_rules! ids {
@@ -12,22 +12,22 @@
 }
 
 ids! {
-    /// A client's request; a client's retry has a new one.
+    /// A client request. A retry by the client gets a new identifier.
     RequestId(u64);
     /// An endpoint of the fleet.
     EndpointId(u32);
-    /// An index into the deployment's zones.
+    /// Index of a zone of the deployment.
     ZoneId(usize);
-    /// A cell: endpoints of one zone with fast links among them.
+    /// A cell: endpoints of one zone that are connected by fast links.
     CellId(i64);
-    /// An index into [`Settings::kinds`](super::Settings::kinds).
+    /// Index into [`Settings::kinds`](super::Settings::kinds).
     KindId(usize);
-    /// An index into [`Settings::classes`](super::Settings::classes).
+    /// Index into [`Settings::classes`](super::Settings::classes).
     ClassId(usize);
-    /// An index into [`Settings::tenants`](super::Settings::tenants).
+    /// Index into [`Settings::tenants`](super::Settings::tenants).
     TenantId(usize);
-    /// The hash of a session or of a shared prompt prefix, the same at every replica.
+    /// Hash of a session or of a shared prompt prefix, identical on all replicas.
     CacheKey(u64);
-    /// The number of a request's attempt, from 0 in order of sending.
+    /// Sequence number of an attempt within its request, starting at 0.
     AttemptId(u32);
 }
--- a/src/scheduler/load_report.rs
+++ b/src/scheduler/load_report.rs
@@ -1,4 +1,4 @@
-//! Endpoints' load reports, and the health checks that fetch them where responses bring too few.
+//! Load reports of endpoints, and the health checks that fetch them when responses carry too few.
 
 use super::Scheduler;
 use super::action::Action;
@@ -8,19 +8,19 @@
 use super::hashing::unit_hash;
 use super::ids::{EndpointId, Micros, RequestId};
 
-/// Microseconds for which a report holds: no endpoint renews its reports more seldom.
+/// How long a load report is valid; every endpoint renews its report at least this often.
 pub(super) const LOAD_REPORT_LIFETIME: Micros = 1_000_000;
-/// Mean microseconds between the health checks that a decode endpoint gets from all replicas together.
+/// Mean microseconds between health checks of one decode endpoint, over all replicas together.
 const FLEET_HEALTH_CHECK_INTERVAL: f64 = 350_000.0;
-/// Microseconds that a request waits for load reports: two round trips and a handshake, little against any
+/// How long a request waits for load reports: two round trips and a handshake, short compared with any
 /// objective.
 const QUEUE_QUERY_TIMEOUT: Micros = 15_000;
-/// Largest share of memory that a report is believed with; above 1, as some endpoints count requests still to
-/// come.
+/// Largest memory utilization accepted from a report; above 1 because some endpoints include requests that
+/// have not arrived yet.
 const MAX_MEMORY_UTILIZATION: f64 = 2.0;
 
 impl Scheduler {
-    /// Takes in a load report; absurd values are passed over.
+    /// Records a load report; implausible values are clamped or ignored.
     pub(super) fn record_load_report(&mut self, now: Micros, id: EndpointId, report: Option<&LoadReport>) {
         let Some(report) = report else { return };
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
@@ -33,7 +33,7 @@
         }
     }
 
-    /// What a decode endpoint's memory holds beyond this replica's streams is that of others.
+    /// Derives the tokens of other replicas' requests: the memory in use minus this replica's own streams.
     fn record_memory_utilization(&mut self, now: Micros, id: EndpointId, utilization: f64) {
         if !(0.0..=MAX_MEMORY_UTILIZATION).contains(&utilization) {
             return;
@@ -52,9 +52,8 @@
         }
     }
 
-    /// Checks the decode endpoints that are due. Their intervals are random, so that the checks of one
-    /// replica and those of all replicas spread out; the first interval of an endpoint begins without a
-    /// check.
+    /// Checks the decode endpoints that are due. Intervals are random to spread the checks of one replica and
+    /// of all replicas over time. The first interval of an endpoint starts without a check.
     pub(super) fn send_health_checks(&mut self, now: Micros, out: &mut Vec<Action>) {
         let enabled = self.settings.capabilities.health_checks;
         if !enabled || self.requests.is_empty() || self.receives_enough_reports(now, Pool::Decode) {
@@ -74,8 +73,8 @@
         }
     }
 
-    /// Asks a new request's prefill endpoints for the length of their queues, and lets the request wait for
-    /// that.
+    /// Queries the queue lengths of a new request's prefill endpoints and lets the request wait for the
+    /// answers.
     pub(super) fn query_prefill_queues(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let enabled = self.settings.capabilities.health_checks;
         if !enabled || self.receives_enough_reports(now, Pool::Prefill) {
@@ -91,8 +90,8 @@
         }
     }
 
-    /// Whether this replica's own requests bring reports from each endpoint of a pool as often as these are
-    /// renewed.
+    /// Whether the responses to this replica's own requests bring load reports from each endpoint of the pool
+    /// as often as the endpoints renew them.
     fn receives_enough_reports(&self, now: Micros, pool: Pool) -> bool {
         let reports_per_lifetime = self.arrival_rate_per_endpoint(now, pool) * LOAD_REPORT_LIFETIME as f64;
         self.settings.replicas < 2 || reports_per_lifetime > 1.0
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,11 +1,11 @@
-//! Every routing decision of one replica. Nothing here does I/O or reads a clock: the caller passes
-//! [`Event`]s to [`Scheduler::handle`] and carries the returned [`Action`]s out.
+//! The routing decisions of one replica. This module performs no I/O and reads no clock: the caller passes
+//! [`Event`]s to [`Scheduler::handle`] and executes the returned [`Action`]s.
 //!
-//! The mechanism is the online phase of SABER: a request waits in one of two tiers (`queue`) until a test by
-//! a decode endpoint's speed curve (`decode_capacity`) admits it (`admission`). `prefill_selection` and
-//! `decode_selection` choose its endpoints, `attempt` sends it and handles outcomes, `retry` decides whether
-//! it may be tried again, and `slow_start`, `outlier` and `load_report` say how much each endpoint can be
-//! sent.
+//! The algorithm is the online phase of SABER: a request waits in one of two queue tiers (`queue`) until a
+//! check against a decode endpoint's speed curve (`decode_capacity`) admits it (`admission`).
+//! `prefill_selection` and `decode_selection` choose its endpoints, `attempt` sends it and handles outcomes,
+//! and `retry` decides whether it may be retried. `slow_start`, `outlier` and `load_report` limit how much
+//! each endpoint is sent.
 
 mod action;
 mod admission;
@@ -55,37 +55,37 @@
 use slow_start::SlowStartCredit;
 use speed_curve::SpeedCurve;
 
-/// Microseconds between looks at waiting requests: short against every first-token objective.
+/// Interval between checks of waiting requests; short compared with any first-token objective.
 const QUEUE_CHECK_INTERVAL: Micros = 5_000;
-/// Microseconds between attempts to watch the endpoint list.
+/// Minimum delay between two requests to watch the endpoint list.
 const WATCH_RETRY_DELAY: Micros = 1_000_000;
 
-/// The state of one replica's decisions.
+/// The routing state of one replica.
 #[derive(Default)]
 pub struct Scheduler {
     settings: Settings,
-    /// Seeds the random draws, so that replicas with the same knowledge draw differently.
+    /// Seed of the replica's random draws, so that replicas with the same state draw differently.
     salt: u64,
     endpoints: BTreeMap<EndpointId, EndpointState>,
     ready_endpoints: PoolSizes,
     requests: BTreeMap<RequestId, Request>,
     queue: Queue,
-    /// One curve for each kind of endpoint.
+    /// One curve per kind of endpoint.
     speed_curves: Vec<SpeedCurve>,
-    /// One bucket for each tenant.
+    /// One bucket per tenant.
     quotas: Vec<TokenBucket>,
     estimates: FleetEstimates,
     slow_start_credit: SlowStartCredit,
     arrivals: ArrivalRate,
-    /// When the timer that is set fires.
+    /// When the pending timer fires.
     timer_due_at: Option<Micros>,
     watch_requested_at: Option<Micros>,
-    /// The endpoint list is watched, or a watch has been requested.
+    /// Whether the endpoint list is being watched or a watch has been requested.
     watch_open: bool,
 }
 
 impl Scheduler {
-    /// A scheduler that knows no endpoint yet. Replicas should have different seeds.
+    /// Creates a scheduler that knows no endpoints yet. Each replica should pass a different seed.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Scheduler {
             speed_curves: vec![SpeedCurve::default(); settings.kinds.len()],
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes in what happened by `now` and appends what is to be done, in order.
+    /// Processes the events that occurred up to `now` and appends the resulting actions in order.
     pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         self.arrivals.start(now);
         self.accrue_slow_start_credit(now);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Watches the endpoint list, again after a failure.
+    /// Requests a watch on the endpoint list if there is none, for example after it failed.
     fn watch_endpoints(&mut self, now: Micros, out: &mut Vec<Action>) {
         let since_last_request = self.watch_requested_at.map_or(Micros::MAX, |at| now - at);
         let wanted = self.settings.watch_endpoint_list && !self.watch_open;
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Keeps one timer set while a request waits here or the endpoint list is to be watched again.
+    /// Keeps one timer pending while a request is waiting or the endpoint list has to be watched again.
     fn set_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
         let request_waits = self.requests.values().any(Request::is_waiting);
         let watch_needed = self.settings.watch_endpoint_list && !self.watch_open;
--- a/src/scheduler/outcome.rs
+++ b/src/scheduler/outcome.rs
@@ -1,43 +1,43 @@
-//! How an attempt ended, and what that proves.
+//! Outcomes of attempts and what they imply about execution.
 
 use super::ids::Micros;
 
-/// Time from which a lost connection is that of an attempt in progress, and no longer one that its endpoint
-/// had closed before it was used.
+/// A connection lost sooner than this after the send may have been an idle one that the endpoint had already
+/// closed; one lost later had an attempt in progress.
 const MIN_IN_PROGRESS: Micros = 100_000;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer is complete.
+    /// The answer was completed.
     Completed,
-    /// The prompt is prefilled and its KV cache waits at the prefill endpoint.
+    /// The prompt was prefilled and its KV cache is held at the prefill endpoint.
     Prefilled,
-    /// Rejected by a full or draining endpoint; it was not executed.
+    /// Rejected by an endpoint that is full or draining. The request was not executed.
     Rejected,
-    /// Rejected as there is no KV cache to fetch; it was not executed.
+    /// Rejected because there was no KV cache to fetch. The request was not executed.
     StateMissing,
-    /// The endpoint returned an error; it may have been executed.
+    /// The endpoint returned an error. The request may have been executed.
     Error,
-    /// No response in time; it may have been executed, or still be.
+    /// No response in time. The request may have been executed, or execution may still be in progress.
     TimedOut,
-    /// No connection; it was not executed.
+    /// No connection could be established. The request was not executed.
     ConnectFailed,
-    /// The connection was lost; it may have been executed.
+    /// The connection was lost. The request may have been executed.
     ConnectionLost,
-    /// The response could not be parsed, though the endpoint responds; it may have been executed.
+    /// The endpoint responded, but the response could not be parsed. The request may have been executed.
     Malformed,
-    /// Cancelled; it may have been executed.
+    /// The attempt was cancelled. The request may have been executed.
     Cancelled,
-    /// Never sent, through no fault of the endpoint: this replica had no connection for it in time, or the
-    /// endpoint began to drain.
+    /// Not sent for a reason other than an endpoint failure: this replica had no connection available in
+    /// time, or the endpoint started to drain.
     NotSent,
-    /// Never sent, as the request had ended.
+    /// Not sent because the request had ended.
     Abandoned,
 }
 
 impl Outcome {
-    /// Whether an attempt that ended like this after `elapsed` proves that it had reached its endpoint.
+    /// Whether this outcome, `elapsed` after the send, shows that the attempt reached its endpoint.
     pub fn reached_endpoint(self, elapsed: Micros) -> bool {
         match self {
             Outcome::Rejected
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether the endpoint certainly executed nothing of the request.
+    /// Whether this outcome rules out that the endpoint executed any of the request.
     pub fn excludes_execution(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Abandoned)
     }
--- a/src/scheduler/outlier.rs
+++ b/src/scheduler/outlier.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: failures eject an endpoint for a while, rejections hold a class back from it.
+//! Outlier detection: failures eject an endpoint temporarily, and a rejection applies backpressure to its
+//! class and tenant.
 
 use super::Scheduler;
 use super::action::Action;
@@ -6,26 +7,27 @@
 use super::endpoint::BackpressureKey;
 use super::ids::{EndpointId, Micros};
 
-/// Microseconds of ejection after a failure; doubled with each further one.
+/// Ejection time after the first failure; doubled by each further consecutive failure.
 const BASE_EJECTION: Micros = 250_000;
-/// Longest ejection in microseconds, so that an endpoint that is back is soon found.
+/// Maximum ejection time, so that an endpoint that has recovered is used again soon.
 const MAX_EJECTION: Micros = 2_000_000;
-/// Most doublings of the ejection: far above what [`MAX_EJECTION`] allows, and no overflow.
+/// Maximum number of doublings; high enough to reach [`MAX_EJECTION`], low enough to avoid overflow.
 const MAX_EJECTION_DOUBLINGS: u32 = 10;
-/// Failures in a row after which an endpoint that works again is taken to have restarted.
+/// Consecutive failures after which an endpoint that recovers is assumed to have restarted.
 const FAILURES_FOR_RESTART: u32 = 3;
-/// Malformed responses in a row that are passed over: a few come from any healthy endpoint.
+/// Consecutive malformed responses that are tolerated; healthy endpoints send one occasionally.
 const MAX_MALFORMED_RESPONSES: u32 = 2;
-/// Shortest backpressure in microseconds after a rejection.
+/// Minimum backpressure after a rejection.
 const MIN_BACKPRESSURE: Micros = 100_000;
-/// Longest backpressure in microseconds: room comes back sooner than congestion is forgotten.
+/// Maximum backpressure. Endpoints have capacity again sooner than a longer value, derived from a rejection
+/// that congestion delayed, would expire.
 const MAX_BACKPRESSURE: Micros = 4_000_000;
 /// Backpressure as a multiple of the time that the rejection took.
 const BACKPRESSURE_MULTIPLE: Micros = 20;
 
 impl Scheduler {
-    /// Ejects an endpoint after a failure, longer each time. An attempt sent before the last failure does not
-    /// count: one failure mostly ends many attempts.
+    /// Ejects an endpoint after a failure, with exponential backoff. Attempts sent before the last failure
+    /// are ignored, because one failure usually ends many attempts at once.
     pub(super) fn record_failure(
         &mut self, now: Micros, id: EndpointId, sent_at: Micros, out: &mut Vec<Action>,
     ) {
@@ -42,8 +44,8 @@
         }
     }
 
-    /// Ends the ejection, as the endpoint gave a useful response. After repeated failures it has most likely
-    /// restarted and begins a slow start, unless the endpoint list already said so.
+    /// Ends the ejection after a successful response. After repeated failures the endpoint has most likely
+    /// restarted, so it enters slow start unless the endpoint list already reported the restart.
     pub(super) fn record_success(&mut self, now: Micros, id: EndpointId) {
         let slow_start_duration = self.settings.rules.slow_start_duration;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Keeps requests of the same class and tenant from an endpoint that rejected one: it may be full for
-    /// these alone. The longer the rejection took, the longer.
+    /// Applies backpressure to requests of the same class and tenant, because the endpoint may be full only
+    /// for these. Slower rejections cause longer backpressure.
     pub(super) fn record_rejection(&mut self, now: Micros, result: &AttemptResult) {
         let Some(request) = self.requests.get(&result.request) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&result.endpoint) else { return };
@@ -70,7 +72,7 @@
         endpoint.backpressure_until.insert(key, now.saturating_add(backpressure));
     }
 
-    /// Counts a malformed response; only an endpoint that sends little else fails.
+    /// Counts a malformed response. It is treated as a failure only after several in a row.
     pub(super) fn record_malformed_response(
         &mut self, now: Micros, id: EndpointId, sent_at: Micros, out: &mut Vec<Action>,
     ) {
--- a/src/scheduler/prefill_selection.rs
+++ b/src/scheduler/prefill_selection.rs
@@ -1,4 +1,4 @@
-//! Which prefill endpoint a prompt goes to, and with which decode endpoint it is paired.
+//! Selection of the prefill endpoint for a prompt and of the decode endpoint to pair it with.
 
 use super::Scheduler;
 use super::decode_capacity::FirstTokenTest;
@@ -11,28 +11,29 @@
 use super::retry::ATTEMPTS_FOR_PREFILL_AND_DECODE;
 use super::settings::Role;
 
-/// Prefill endpoints that a prefix has an affinity to: it may outgrow one, yet each must prefill it once.
+/// Number of affinity endpoints per prefix. One endpoint may be too few for a popular prefix, but each
+/// additional one has to prefill it once.
 pub(super) const AFFINITY_ENDPOINTS: usize = 3;
-/// Least weight of a prefill endpoint whose cell has few decode endpoints, against 1.
+/// Minimum weight of a prefill endpoint whose cell has few decode endpoints; the maximum is 1.
 const MIN_AFFINITY_WEIGHT: f64 = 0.5;
-/// Weight of a prefill endpoint for each unit of its cell's decode capacity.
+/// Weight of a prefill endpoint per unit of the decode capacity ratio of its cell.
 const AFFINITY_WEIGHT_PER_CAPACITY: f64 = 2.0;
-/// Multiple of the estimated prefill time that must fit: other replicas' prefills queue too, and the estimate
-/// lags behind congestion.
+/// Safety factor on the estimated prefill time: other replicas' prefills queue as well, and the estimate lags
+/// behind congestion.
 const PREFILL_TIME_MARGIN: f64 = 1.5;
 
-/// The endpoints of an admission.
+/// The endpoints selected for a request.
 #[derive(Clone, Copy)]
 pub(super) struct EndpointPair {
-    /// None if the decode endpoint prefills by itself.
+    /// `None` if the decode endpoint also prefills.
     pub(super) prefill: Option<EndpointId>,
     pub(super) decode: EndpointId,
 }
 
 impl Scheduler {
-    /// The endpoints for a waiting request, if any pass: of the prefill endpoints with an affinity the
-    /// quickest that has a decode endpoint to go with it, else one endpoint for both. The upper tier is
-    /// tested, the lower one not.
+    /// Selects the endpoints for a queued request, if any are suitable: the fastest affinity prefill endpoint
+    /// that can be paired with a decode endpoint, otherwise one endpoint that does both. The capacity check
+    /// applies to the objective tier only.
     pub(super) fn select_pair(&self, now: Micros, id: RequestId, tier: Tier) -> Option<EndpointPair> {
         let request = self.requests.get(&id)?;
         self.quickest_affinity_endpoints(now, request)
@@ -41,7 +42,7 @@
             .or_else(|| self.select_local_prefill(now, request, tier))
     }
 
-    /// The prefill endpoints with an affinity that take the request, the quickest first.
+    /// Eligible affinity prefill endpoints, sorted by estimated prefill time.
     fn quickest_affinity_endpoints(&self, now: Micros, request: &Request) -> Vec<&EndpointState> {
         let max_attempts = self.settings.capabilities.max_attempts;
         let attempts_suffice = request.attempts() + ATTEMPTS_FOR_PREFILL_AND_DECODE <= max_attempts;
@@ -54,8 +55,8 @@
         endpoints
     }
 
-    /// The pair with this prefill endpoint. The part of its KV caches that is beyond the capacity of its
-    /// cell's decode endpoints goes to another cell if possible, the other part to its own.
+    /// Pairs a prefill endpoint with a decode endpoint. Requests beyond the decode capacity of the prefill
+    /// endpoint's cell prefer another cell; all others prefer the same cell.
     fn pair_with(
         &self, now: Micros, request: &Request, prefill: &EndpointState, tier: Tier,
     ) -> Option<EndpointPair> {
@@ -74,8 +75,8 @@
         Some(EndpointPair { prefill: Some(prefill.id), decode })
     }
 
-    /// An endpoint that prefills and decodes by itself. Only where no prefill endpoint passes, as the prefill
-    /// slows its streams.
+    /// Selects an endpoint that both prefills and decodes. Used only if no prefill endpoint is suitable,
+    /// because the prefill slows down the endpoint's running streams.
     fn select_local_prefill(&self, now: Micros, request: &Request, tier: Tier) -> Option<EndpointPair> {
         let can_prefill = |role: Role| role == Role::Mixed || self.settings.capabilities.local_prefill;
         let in_time = |endpoint: &EndpointState| {
@@ -93,16 +94,16 @@
         Some(EndpointPair { prefill: None, decode })
     }
 
-    /// The prefill endpoints that a prefix (else a session) has an affinity to, by rendezvous hashing that is
-    /// the same at every replica. They are few: a prefix that is prefilled elsewhere costs time there and
-    /// evicts others.
+    /// Prefill endpoints with affinity to the request's prefix, or else its session, by rendezvous hashing
+    /// that is identical on all replicas. Their number is small because each additional endpoint has to
+    /// prefill the prefix and evicts others from its cache.
     pub(super) fn prefix_affinity_order(
         &self, request: &Request, eligible: impl Fn(&EndpointState) -> bool,
     ) -> Vec<&EndpointState> {
         let spec = &request.spec;
         let key = spec.prefix.or(spec.session).unwrap_or(CacheKey(spec.id.0));
-        // Fewer prefixes in cells without the decode endpoints for them: their KV caches would congest the
-        // link.
+        // Cells with few decode endpoints get fewer prefixes, because KV caches sent to other cells would
+        // congest the link.
         let score = |endpoint: &EndpointState| {
             let capacity = AFFINITY_WEIGHT_PER_CAPACITY * endpoint.local_capacity_ratio;
             rendezvous_score(endpoint.id.0, key.0, capacity.clamp(MIN_AFFINITY_WEIGHT, 1.0))
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! The queue: two tiers of requests that wait to be admitted.
+//! The queue: two tiers of requests waiting for admission.
 
 use std::collections::BTreeSet;
 
@@ -9,27 +9,28 @@
 use super::request::{Request, RequestState};
 use super::retry::FINAL_ANSWER_MARGIN;
 
-/// Requests of each tier whose prefill time is estimated in each round: far above a usual queue, and it
-/// bounds the work. For those behind them only the clock counts.
+/// Number of requests per tier whose prefill time is estimated in each round. Bounds the work and is far
+/// above the usual queue length; requests beyond it are only checked against the current time.
 const MAX_ESTIMATES: usize = 128;
 
-/// The tier that a request waits in.
+/// The queue tier of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Tier {
-    /// Its first token can come within the objective; admitted first, by a test.
+    /// The first token can still meet the objective. Admitted first, subject to the capacity check.
     Objective,
-    /// It is past its objective or over its quota; admitted without a test when the other tier is empty.
+    /// The objective cannot be met or the tenant's quota is exceeded. Admitted without a check when the
+    /// objective tier is empty.
     BestEffort,
 }
 
-/// A waiting request. The order is that of the objectives.
+/// A queued request, ordered by its objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueEntry {
     pub(super) objective_at: Micros,
     pub(super) request: RequestId,
 }
 
-/// Both tiers.
+/// The two tiers.
 #[derive(Default)]
 pub(super) struct Queue {
     objective: BTreeSet<QueueEntry>,
@@ -51,25 +52,25 @@
         }
     }
 
-    /// Takes an entry out of a tier.
+    /// Removes an entry from a tier.
     pub(super) fn remove(&mut self, tier: Tier, entry: &QueueEntry) {
         self.tier_mut(tier).remove(entry);
     }
 
-    /// Takes an entry out of whichever tier it is in.
+    /// Removes an entry from whichever tier contains it.
     pub(super) fn remove_from_all(&mut self, entry: &QueueEntry) {
         self.objective.remove(entry);
         self.best_effort.remove(entry);
     }
 
-    /// Moves an entry to the lower tier; whether it was there to be moved.
+    /// Moves an entry to the best-effort tier. Returns whether it was moved.
     fn demote(&mut self, entry: QueueEntry) -> bool {
         self.objective.remove(&entry) && self.best_effort.insert(entry)
     }
 }
 
 impl Scheduler {
-    /// Puts a request into its tier, to be prefilled anew.
+    /// Queues a request in its tier, to be prefilled again if it had been before.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         self.unassign_decode_endpoint(id);
         let affinity_endpoints = self.ready_affinity_endpoints(id);
@@ -86,8 +87,8 @@
         endpoints.iter().map(|endpoint| endpoint.id).collect()
     }
 
-    /// Moves requests that will miss their objective to the lower tier, and answers those that will miss
-    /// their deadline too.
+    /// Moves requests that cannot meet their objective to the best-effort tier, and gives a final answer to
+    /// those that cannot meet their deadline either.
     pub(super) fn update_tiers(&mut self, now: Micros, out: &mut Vec<Action>) {
         let first_token_time =
             self.shortest_time(Pool::Decode, |endpoint| self.first_token_time(now, endpoint));
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The tier's requests that can no longer be served in its time, or not at all.
+    /// Requests of a tier that cannot be served within the tier's time limit, or not at all.
     fn overdue(&self, now: Micros, tier: Tier, first_token_time: f64) -> Vec<QueueEntry> {
         let is_overdue = |rank: usize, request: &Request| {
             let time_needed = if rank < MAX_ESTIMATES {
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,14 +1,14 @@
-//! Tenants' quotas: what goes beyond this replica's part is served at best effort.
+//! Tenant quotas. Requests beyond this replica's part of a quota are served as best effort.
 
 use super::Scheduler;
 use super::ids::{Micros, TenantId};
 
-/// Multiple of an even part of a quota that one replica lets through: traffic is not spread evenly.
+/// Factor on an even split of a quota among replicas, because traffic is not evenly distributed.
 const REPLICA_SLACK: f64 = 1.25;
-/// Microseconds of quota that may be used at once.
+/// Microseconds' worth of quota that can be used in a burst.
 const BURST_DURATION: f64 = 2e6;
 
-/// A token bucket; its rate is passed at each use.
+/// A token bucket. The refill rate is passed to each call.
 #[derive(Clone, Copy)]
 pub(super) struct TokenBucket {
     tokens: f64,
@@ -16,12 +16,12 @@
 }
 
 impl TokenBucket {
-    /// A bucket that its first use cuts down to its capacity.
+    /// Creates a full bucket; its first use limits it to its capacity.
     pub(super) fn full() -> Self {
         TokenBucket { tokens: f64::MAX, refilled_at: 0 }
     }
 
-    /// Refills at `rate` tokens a microsecond, and takes a token if there is one.
+    /// Refills at `rate` tokens per microsecond and takes a token if one is available.
     fn take(&mut self, now: Micros, rate: f64) -> bool {
         let capacity = (rate * BURST_DURATION).max(1.0);
         self.tokens = (self.tokens + rate * (now - self.refilled_at) as f64).min(capacity);
@@ -35,7 +35,7 @@
 }
 
 impl Scheduler {
-    /// Charges the request to its tenant; whether it goes beyond this replica's part of the quota.
+    /// Charges the request to its tenant. Returns whether this replica's part of the quota is exceeded.
     pub(super) fn exceeds_quota(&mut self, now: Micros, tenant: Option<TenantId>) -> bool {
         let Some(tenant) = tenant else { return false };
         let Some(bucket) = self.quotas.get_mut(tenant.0) else { return false };
--- a/src/scheduler/registry.rs
+++ b/src/scheduler/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: updates, draining, removal, and the capacities of cells.
+//! The endpoint list: updates, draining, removal, and the capacity of cells.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,15 +7,15 @@
 use super::event::{EndpointUpdate, Lifecycle};
 use super::ids::{CellId, Micros};
 
-/// Multiple of a cell's share of the KV caches that its decode endpoints take by themselves: shares need not
-/// be even.
+/// Factor on the fraction of a cell's KV caches that its own decode endpoints take; the load need not be
+/// even.
 const LOCAL_CAPACITY_SLACK: f64 = 1.15;
-/// Least weight for other cells' KV caches, against 1 for a cell without prefill endpoints.
+/// Minimum weight for KV caches from other cells; a cell without prefill endpoints has weight 1.
 const MIN_REMOTE_CAPACITY_WEIGHT: f64 = 0.05;
-/// Least divisor of a share.
+/// Lower bound of a divisor, to avoid division by zero.
 const MIN_SHARE: f64 = 1e-9;
 
-/// Ready endpoints of each pool.
+/// Number of ready endpoints in each pool.
 #[derive(Clone, Copy, Default)]
 pub(super) struct PoolSizes {
     prefill: usize,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Ready endpoints of a cell or of all cells.
+/// Number of ready endpoints in each pool, of a cell or of the fleet.
 #[derive(Clone, Copy, Default)]
 struct PoolShares {
     prefill: f64,
@@ -39,8 +39,8 @@
 }
 
 impl PoolShares {
-    /// What the decode endpoints here can take of the KV caches from the prefill endpoints here, as a ratio,
-    /// if each endpoint of the fleet has an even part.
+    /// Ratio of this cell's part of the fleet's decode capacity to its part of the prefill capacity, assuming
+    /// that all endpoints of a pool are equal.
     fn decode_to_prefill_ratio(self, fleet: PoolShares) -> f64 {
         (self.decode / f64::max(fleet.decode, 1.0))
             / (self.prefill / f64::max(fleet.prefill, 1.0)).max(MIN_SHARE)
@@ -48,8 +48,7 @@
 }
 
 impl Scheduler {
-    /// Applies a snapshot or a delta. An endpoint that drains or is removed is out of all choices from now
-    /// on.
+    /// Applies a snapshot or a delta. Endpoints that drain or are removed are no longer selected.
     pub(super) fn endpoints_changed(&mut self, now: Micros, snapshot: bool, updates: &[EndpointUpdate]) {
         if snapshot {
             self.remove_unnamed(updates);
@@ -57,8 +56,8 @@
         for update in updates {
             self.apply_update(now, update);
         }
-        // A removed endpoint is forgotten once nothing is in flight there: the list names ever new ones over
-        // a day.
+        // Drop removed endpoints that have nothing in flight; new ids appear all day, so the map would
+        // otherwise grow.
         self.endpoints.retain(|_, endpoint| !endpoint.is_forgettable());
         self.ready_endpoints = PoolSizes {
             prefill: self.ready_in(Pool::Prefill).count(),
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Works out what each cell's decode endpoints can take of the cell's own KV caches and of other cells'.
+    /// Updates how much of its own and of other cells' KV caches the decode endpoints of each cell can take.
     fn update_cell_capacities(&mut self) {
         let mut cells: BTreeMap<CellId, PoolShares> = BTreeMap::new();
         let mut fleet = PoolShares::default();
@@ -114,13 +113,12 @@
         }
     }
 
-    /// The ready endpoints of a pool.
+    /// Ready endpoints of a pool.
     pub(super) fn ready_in(&self, pool: Pool) -> impl Iterator<Item = &EndpointState> {
         self.endpoints.values().filter(move |endpoint| endpoint.is_ready() && endpoint.pool() == pool)
     }
 
-    /// The shortest of the times that `estimate` gives for the ready endpoints of a pool; zero if there are
-    /// none.
+    /// The minimum of `estimate` over the ready endpoints of a pool; zero if there are none.
     pub(super) fn shortest_time(&self, pool: Pool, estimate: impl Fn(&EndpointState) -> f64) -> f64 {
         self.ready_in(pool).map(estimate).min_by(f64::total_cmp).unwrap_or(0.0)
     }
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -1,47 +1,48 @@
-//! The state of one request, from its arrival to its last event.
+//! State of one request, from its arrival to its last event.
 
 use super::event::RequestSpec;
 use super::ids::{CellId, EndpointId, Micros, RequestId, ZoneId};
 use super::queue::{QueueEntry, Tier};
 use super::settings::RequestClass;
 
-/// Share of the most output tokens that is expected where the request has no hint.
+/// Expected output length as a fraction of the maximum, if the request has no hint.
 const EXPECTED_OUTPUT_SHARE: f64 = 0.3;
 
-/// Where a request stands.
+/// The state of a request.
 ///
-/// `Queued` goes to `Prefilling`, or to `Decoding` at an endpoint that prefills by itself; a prefill ends in
-/// `Prefilled`, and that goes to `Decoding`. When an attempt fails, the request returns to `Prefilled` if its
-/// KV cache is still of use, else to `Queued`. A stream mostly ends with the request.
+/// `Queued` changes to `Prefilling`, or to `Decoding` at an endpoint that also prefills. A completed prefill
+/// leads to `Prefilled`, which changes to `Decoding`. After a failed attempt, the request returns to
+/// `Prefilled` if its KV cache is still usable and to `Queued` otherwise. A request usually ends with its
+/// stream.
 #[derive(Clone, Copy)]
 pub(super) enum RequestState {
-    /// Waits in a tier of the queue.
+    /// Waiting in a tier of the queue.
     Queued(Tier),
-    /// Its prompt is being prefilled at an endpoint.
+    /// The prompt is being prefilled.
     Prefilling {
-        /// Which endpoint.
+        /// The endpoint that prefills it.
         prefill_endpoint: EndpointId,
     },
-    /// Its KV cache waits at a prefill endpoint, and no attempt is in flight.
+    /// The KV cache is held at a prefill endpoint and no attempt is in flight.
     Prefilled(CacheReservation),
-    /// Sent to a decode endpoint: with the reserved KV cache, or without one to be prefilled there.
+    /// Sent to a decode endpoint, with the reserved KV cache or, without one, to be prefilled there.
     Decoding(Option<CacheReservation>),
-    /// The first token is out; the reservation as before.
+    /// The first token was received; the reservation is unchanged.
     Streaming(Option<CacheReservation>),
 }
 
-/// A KV cache that is reserved at a prefill endpoint.
+/// A KV cache reserved at a prefill endpoint.
 #[derive(Clone, Copy)]
 pub(super) struct CacheReservation {
     pub(super) prefill_endpoint: EndpointId,
-    /// Since when it waits with no attempt in flight.
+    /// When the KV cache started to wait without an attempt in flight.
     pub(super) reserved_since: Micros,
-    /// Decode endpoints that stayed silent when sent this KV cache.
+    /// Number of decode endpoints that did not respond when sent this KV cache.
     pub(super) failed_transfers: u32,
 }
 
 impl CacheReservation {
-    /// A KV cache that waits from now on.
+    /// Creates a reservation that starts now.
     pub(super) fn new(prefill_endpoint: EndpointId, now: Micros) -> Self {
         CacheReservation { prefill_endpoint, reserved_since: now, failed_transfers: 0 }
     }
@@ -50,13 +51,14 @@
 /// An attempt that may have executed the request.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleExecution {
-    /// Where; none if the endpoint had left the list. It is kept here, as the endpoint may leave later.
+    /// Where the attempt was sent; `None` if the endpoint had already been removed from the list. Copied
+    /// because the endpoint may be removed later.
     pub(super) site: Option<ExecutionSite>,
     /// When the attempt was sent.
     pub(super) sent_at: Micros,
 }
 
-/// The parts of the fleet that drop duplicates together.
+/// The location of an execution, which determines the endpoints that drop duplicates of it.
 #[derive(Clone, Copy)]
 pub(super) struct ExecutionSite {
     pub(super) zone: ZoneId,
@@ -67,55 +69,56 @@
 #[derive(Clone, Copy)]
 pub(super) struct LocallyUnreachable {
     pub(super) endpoint: EndpointId,
-    /// Until when other endpoints are tried first.
+    /// Other endpoints are preferred until then.
     pub(super) until: Micros,
 }
 
-/// A request that has had no final answer, or whose last attempt has not ended.
+/// A request without a final answer, or whose last attempt has not ended.
 pub(super) struct Request {
     pub(super) spec: RequestSpec,
     pub(super) state: RequestState,
-    /// When its first token is due, and when the client gives up.
+    /// When the first token is due, and when the client abandons the request.
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
-    /// Expected tokens of the answer.
+    /// Expected number of output tokens.
     pub(super) expected_output_tokens: f64,
-    /// Expected KV cache memory, in tokens: the prompt and the answer.
+    /// Expected KV cache memory in tokens: prompt and answer.
     pub(super) footprint_tokens: f64,
-    /// Wanted microseconds between tokens.
+    /// Target inter-token latency in microseconds.
     pub(super) inter_token_objective: f64,
-    /// Beyond its tenant's quota, so that it always waits in the lower tier.
+    /// Whether the tenant's quota is exceeded, which restricts the request to the best-effort tier.
     pub(super) over_quota: bool,
 
-    /// Attempts ordered, and those of them that this replica never sent.
+    /// Attempts that the scheduler requested, and how many of them were never sent.
     pub(super) ordered_attempts: u32,
     pub(super) unsent_attempts: u32,
-    /// When the last attempt was sent or, once it streams, its first token came.
+    /// When the last attempt was sent or, while streaming, when the first token arrived.
     pub(super) last_progress_at: Micros,
     /// The first attempt that may have executed the request.
     pub(super) possible_execution: Option<PossibleExecution>,
     pub(super) locally_unreachable: Option<LocallyUnreachable>,
-    /// The cell of the decode endpoint that last stayed silent.
+    /// Cell of the last decode endpoint that did not respond.
     pub(super) silent_cell: Option<CellId>,
-    /// The client has left; only the outcome of the last attempt is awaited.
+    /// Whether the client disconnected; the request then only waits for its last attempt to end.
     pub(super) disconnected: bool,
 
-    /// The prefill endpoints that its prefix has an affinity to, best first.
+    /// Affinity prefill endpoints, best first.
     pub(super) affinity_endpoints: Vec<EndpointId>,
-    /// The decode endpoint that counts it as a stream.
+    /// The decode endpoint that the request is assigned to.
     pub(super) decode_endpoint: Option<EndpointId>,
-    /// The tier that it was last admitted from.
+    /// Tier of the last admission.
     pub(super) admitted_from: Tier,
-    /// Prompt tokens to prefill at the last admission.
+    /// Prompt tokens to prefill, as estimated at the last admission.
     pub(super) uncached_tokens: f64,
-    /// Tokens in this replica's prefills at its prefill endpoint when it was sent, its own included.
+    /// Tokens of this replica's prefills at the prefill endpoint when the request was sent, including the
+    /// request itself.
     pub(super) prefill_load_tokens: f64,
-    /// Until when it waits for the load reports of its prefill endpoints.
+    /// Admission waits until then for load reports from the prefill endpoints.
     pub(super) load_reports_awaited_until: Micros,
 }
 
 impl Request {
-    /// A request that arrives now; it has yet to be queued.
+    /// Creates a request that arrived at `now` and has not been queued yet.
     pub(super) fn new(now: Micros, spec: &RequestSpec, class: &RequestClass, over_quota: bool) -> Self {
         let inter_token_objective = class.inter_token_objective.max(1) as f64;
         let hinted = spec.stream_duration_hint.map(|hint| hint as f64 / inter_token_objective);
@@ -151,7 +154,6 @@
         }
     }
 
-    /// Its entry in the queue.
     pub(super) fn queue_entry(&self) -> QueueEntry {
         QueueEntry { objective_at: self.objective_at, request: self.spec.id }
     }
@@ -160,22 +162,21 @@
         self.spec.id
     }
 
-    /// Whether it waits here, with no attempt in flight.
+    /// Whether the request is waiting with no attempt in flight.
     pub(super) fn is_waiting(&self) -> bool {
         matches!(self.state, RequestState::Queued(_) | RequestState::Prefilled(_))
     }
 
-    /// Whether its prompt is being prefilled by an attempt of its own.
+    /// Whether an attempt is prefilling the prompt for a later decode.
     pub(super) fn is_prefilling(&self) -> bool {
         matches!(self.state, RequestState::Prefilling { .. })
     }
 
-    /// Whether an answer is being streamed.
     pub(super) fn is_streaming(&self) -> bool {
         matches!(self.state, RequestState::Streaming(_))
     }
 
-    /// Its reserved KV cache, where there is one.
+    /// The reserved KV cache, if any.
     pub(super) fn reservation(&self) -> Option<CacheReservation> {
         match self.state {
             RequestState::Prefilled(reservation) => Some(reservation),
@@ -184,7 +185,6 @@
         }
     }
 
-    /// The reservation for an update in place.
     pub(super) fn reservation_mut(&mut self) -> Option<&mut CacheReservation> {
         match &mut self.state {
             RequestState::Prefilled(reservation) => Some(reservation),
@@ -195,8 +195,8 @@
         }
     }
 
-    /// The first token is out. A prefill endpoint that streams the answer by itself, against its role, counts
-    /// as one with a reservation.
+    /// Enters the streaming state. A prefill endpoint that streams the answer itself, contrary to its role,
+    /// is treated as one with a reservation.
     pub(super) fn start_streaming(&mut self, now: Micros) {
         let reservation = match self.state {
             RequestState::Prefilling { prefill_endpoint } => {
@@ -208,7 +208,7 @@
         self.last_progress_at = now;
     }
 
-    /// The endpoint that prefills its prompt or has its KV cache.
+    /// The endpoint that prefills the prompt or holds the KV cache.
     pub(super) fn prefill_endpoint(&self) -> Option<EndpointId> {
         match self.state {
             RequestState::Prefilling { prefill_endpoint } => Some(prefill_endpoint),
@@ -216,12 +216,12 @@
         }
     }
 
-    /// Rank of an endpoint in the affinity order of its prefix.
+    /// Rank of an endpoint in the request's affinity order.
     pub(super) fn affinity_rank(&self, endpoint: EndpointId) -> Option<usize> {
         self.affinity_endpoints.iter().position(|&id| id == endpoint)
     }
 
-    /// Attempts that endpoints may have seen.
+    /// Number of attempts that may have reached an endpoint.
     pub(super) fn attempts(&self) -> u32 {
         self.ordered_attempts - self.unsent_attempts
     }
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: what idempotency allows, and the final answer where nothing is left to try.
+//! Retries: restrictions due to idempotency, and the final answer when no retry is possible.
 
 use super::Scheduler;
 use super::action::Action;
@@ -7,20 +7,21 @@
 use super::request::{Request, RequestState};
 use super::settings::{DeduplicationScope, Idempotency, Settings};
 
-/// Attempts that a prompt needs which is prefilled at one endpoint and decoded at another.
+/// Attempts needed to prefill at one endpoint and decode at another.
 pub(super) const ATTEMPTS_FOR_PREFILL_AND_DECODE: u32 = 2;
-/// Attempts that a request with a reserved KV cache needs.
+/// Attempts needed if the KV cache is already reserved.
 const ATTEMPTS_FOR_DECODE: u32 = 1;
-/// Microseconds before the client's deadline at which a waiting request gets its final answer.
+/// Time before the client's deadline at which a waiting request gets its final answer.
 pub(super) const FINAL_ANSWER_MARGIN: Micros = 10_000;
-/// Microseconds of a deduplication window that are left unused: a handshake and the way to the endpoint.
+/// Safety margin at the end of a deduplication window: time for a handshake and for the request to reach the
+/// endpoint.
 const DEDUPLICATION_MARGIN: Micros = 100_000;
-/// Share of the reservation limit by which an attempt with a reserved KV cache must have begun.
+/// Fraction of the reservation limit within which an attempt with a reserved KV cache must start.
 const RESERVED_START_SHARE: f64 = 0.9;
 
 impl Request {
-    /// Until when the next attempt may begin; none where any time will do. A connection may take long to come
-    /// up, and a reserved KV cache waits meanwhile.
+    /// Latest start of the next attempt; `None` if unlimited. Needed because a connection may take long to
+    /// open while the KV cache stays reserved.
     pub(super) fn start_limit(&self, settings: &Settings) -> Option<Micros> {
         let by_deduplication = self.deduplicated_until(settings);
         let by_reservation = self.reservation_start_limit(settings);
@@ -30,14 +31,14 @@
         }
     }
 
-    /// Until when an attempt with the reserved KV cache may begin.
+    /// Latest start of an attempt that uses the reserved KV cache.
     fn reservation_start_limit(&self, settings: &Settings) -> Option<Micros> {
         let RequestState::Decoding(Some(reservation)) = self.state else { return None };
         let usable_for = (settings.rules.reservation_limit as f64 * RESERVED_START_SHARE) as Micros;
         Some(reservation.reserved_since.saturating_add(usable_for))
     }
 
-    /// Until when an attempt may begin that could execute a keyed request a second time.
+    /// Latest start of an attempt that could execute a keyed request a second time.
     fn deduplicated_until(&self, settings: &Settings) -> Option<Micros> {
         let first = self.possible_execution?;
         match settings.classes[self.spec.class.0].idempotency {
@@ -48,7 +49,8 @@
 }
 
 impl Scheduler {
-    /// Whether no attempt at this endpoint, also not a prefill, can do harm by a second execution.
+    /// Whether an attempt at this endpoint is safe with respect to a second execution. Applies to prefill
+    /// attempts as well.
     pub(super) fn may_run_at(&self, now: Micros, request: &Request, at: EndpointId) -> bool {
         let Some(first) = request.possible_execution else { return true };
         let scope = match self.settings.classes[request.spec.class.0].idempotency {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Whether the request has the attempts left that it needs, and an endpoint that may execute it.
+    /// Whether the request has enough attempts left and some endpoint may execute it.
     pub(super) fn may_run_anywhere(&self, now: Micros, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return true };
         let needed = if request.prefill_endpoint().is_some() {
@@ -84,8 +86,8 @@
             || self.ready_in(Pool::Decode).any(|endpoint| self.may_run_at(now, request, endpoint.id))
     }
 
-    /// Gives the final answer of a request that is not served, and releases everything that is reserved for
-    /// it. It is rejected, so that the client may retry, unless a second execution could do harm.
+    /// Gives the final answer to a request that cannot be served and releases its reservations. The request
+    /// is rejected, so that the client may retry, unless a second execution could do harm.
     pub(super) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.ordered_attempts > 0 {
@@ -103,7 +105,7 @@
         self.remove_request(id);
     }
 
-    /// Drops a request whose client has left, at once or, with an attempt in flight, when that ends.
+    /// Removes a request whose client disconnected: immediately, or when the attempt in flight ends.
     pub(super) fn client_disconnected(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.is_waiting() {
@@ -118,7 +120,6 @@
         }
     }
 
-    /// Forgets a request.
     pub(super) fn remove_request(&mut self, id: RequestId) {
         self.unassign_decode_endpoint(id);
         if let Some(request) = self.requests.remove(&id) {
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -1,8 +1,8 @@
-//! The scheduler's settings: classes of request, kinds of endpoint, rules and capabilities of the deployment.
+//! Scheduler settings: request classes, endpoint kinds, platform rules and deployment capabilities.
 
 use super::ids::{Micros, ZoneId};
 
-/// What a kind of endpoint can do.
+/// The role of a kind of endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Prefills prompts.
@@ -10,11 +10,11 @@
     Prefill,
     /// Decodes answers from a prefilled KV cache.
     Decode,
-    /// Decodes answers, and prefills the prompt itself when there is no KV cache to fetch.
+    /// Decodes answers, and also prefills prompts that have no KV cache to fetch.
     Mixed,
 }
 
-/// The endpoints that together drop duplicates of a keyed request.
+/// The set of endpoints among which duplicates of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All endpoints.
@@ -25,116 +25,116 @@
     Cell,
 }
 
-/// What a second execution of a request does.
+/// The effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// A second execution is harmless.
     Idempotent,
-    /// A second execution is dropped within the scope, for the window after the first attempt that may have
-    /// executed.
+    /// Duplicates are dropped within the scope, for the window that starts with the first attempt that may
+    /// have executed the request.
     Keyed {
-        /// The endpoints that know the key.
+        /// The endpoints that share the key.
         scope: DeduplicationScope,
-        /// How long they know it.
+        /// How long the endpoints remember the key.
         window: Micros,
     },
-    /// A second execution does harm unless no earlier attempt executed.
+    /// A second execution is harmful.
     NonIdempotent,
 }
 
-/// A class of request.
+/// A request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Time within which the first token earns the full weight.
+    /// Time to the first token within which an answer earns the full weight.
     pub first_token_objective: Micros,
-    /// What each 1,000 prompt tokens add to the objective.
+    /// Addition to the first-token objective for each 1,000 prompt tokens.
     pub objective_per_1000_prompt_tokens: Micros,
-    /// The client's timeout over all its tries.
+    /// The client's total timeout over all its tries.
     pub deadline: Micros,
-    /// Wanted mean time between tokens.
+    /// Target mean time between tokens.
     pub inter_token_objective: Micros,
-    /// Weight of one request, or of one unit of its work.
+    /// Weight of one request or of one unit of its work.
     pub priority_weight: f64,
-    /// Share of the weight that a late answer earns.
+    /// Fraction of the weight that a late answer earns.
     pub late_weight: f64,
-    /// What a second execution does.
+    /// The effect of executing a request more than once.
     pub idempotency: Idempotency,
 }
 
 /// A kind of endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointKind {
-    /// What it does.
+    /// The role of these endpoints.
     pub role: Role,
-    /// Its KV cache memory, in tokens; none where the deployment does not say.
+    /// KV cache capacity in tokens; `None` if the deployment does not specify it.
     pub memory_tokens: Option<f64>,
 }
 
 /// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all replicas.
+    /// Quota in requests per second, over all replicas.
     pub quota_per_s: f64,
 }
 
-/// The limits that the platform's rules set.
+/// Limits that the platform imposes.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// How long after the deadline a final answer still counts.
+    /// How long after the deadline a final answer is still accepted.
     pub answer_slack: Micros,
-    /// How long after notice of a drain sends must have stopped.
+    /// Time after the notice of a drain by which the replica must have stopped sending to the endpoint.
     pub drain_grace: Micros,
-    /// Multiple of the present capacity that overloads an endpoint in slow start when sent within the
+    /// An endpoint in slow start is overloaded if it is sent this multiple of its current capacity within the
     /// [`overload_window`](Self::overload_window).
     pub overload_multiple: f64,
-    /// The window over which sends to an endpoint in slow start are counted.
+    /// Window over which sends to an endpoint in slow start are counted.
     pub overload_window: Micros,
-    /// Time after its start by which an endpoint has its full capacity.
+    /// Time after its start when an endpoint reaches full capacity.
     pub slow_start_duration: Micros,
-    /// Share of its capacity that an endpoint has at its start, at least.
+    /// Minimum fraction of its capacity that an endpoint has at its start.
     pub initial_capacity: f64,
-    /// How long a KV cache or a slot may be reserved while no attempt is in flight.
+    /// How long a KV cache or a slot may be reserved without an attempt in flight.
     pub reservation_limit: Micros,
 }
 
-/// What the deployment allows.
+/// Features that the deployment supports.
 #[derive(Clone, Debug, Default)]
 pub struct Capabilities {
-    /// Attempts can be cancelled.
+    /// Whether attempts can be cancelled.
     pub cancellation: bool,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub hedging: bool,
-    /// Endpoints may be health checked.
+    /// Whether endpoints may be health checked.
     pub health_checks: bool,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Longest `Retry-After` that clients heed; none where they are sent none.
+    /// Longest `Retry-After` that clients honour; `None` if they are not sent one.
     pub max_retry_after: Option<Micros>,
-    /// A slot may be reserved at a decode endpoint ahead of time.
+    /// Whether a slot can be reserved at a decode endpoint in advance.
     pub reserve_ahead: bool,
-    /// The client of a broken stream retries and resumes after its last token.
+    /// Whether the client of a broken stream retries and resumes after its last token.
     pub resume: bool,
-    /// A decode endpoint prefills a prompt itself when there is no KV cache to fetch.
+    /// Whether a decode endpoint prefills a prompt itself if there is no KV cache to fetch.
     pub local_prefill: bool,
 }
 
-/// What a replica is configured with at its start.
+/// Configuration of a replica at startup.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many replicas of the router serve this fleet.
+    /// Number of router replicas that serve the fleet.
     pub replicas: u32,
-    /// This replica's zone.
+    /// The zone of this replica.
     pub zone: ZoneId,
-    /// Kinds of endpoint.
+    /// The kinds of endpoint.
     pub kinds: Vec<EndpointKind>,
-    /// Classes of request.
+    /// The request classes.
     pub classes: Vec<RequestClass>,
-    /// Tenants; may be empty.
+    /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The platform's rules.
+    /// Limits that the platform imposes.
     pub rules: Rules,
-    /// What the deployment allows.
+    /// Features that the deployment supports.
     pub capabilities: Capabilities,
-    /// The endpoint list must be watched at discovery; otherwise updates come without a watch.
+    /// Whether the endpoint list must be watched through discovery. Otherwise updates arrive without a watch.
     pub watch_endpoint_list: bool,
 }
--- a/src/scheduler/speed_curve.rs
+++ b/src/scheduler/speed_curve.rs
@@ -1,16 +1,16 @@
-//! The speed curve of a kind of endpoint: time for each token by the number of streams.
+//! Speed curve of a kind of endpoint: inter-token latency as a function of the number of streams.
 
-/// Completed streams of a kind before its curve is used.
+/// Completed streams required before the curve is used.
 const MIN_SAMPLES: f64 = 12.0;
-/// Weight that earlier samples keep at each new one: about the last 300 count.
+/// Factor applied to the weight of earlier samples at each new one; the last 300 or so dominate.
 const SAMPLE_RETENTION: f64 = 0.997;
-/// Rounds of coordinate descent at each sample, starting from the last fit.
+/// Coordinate descent iterations per sample; each fit starts from the previous one.
 const FIT_ROUNDS: usize = 20;
-/// Least diagonal element that the fit divides by.
+/// Lower bound of the diagonal elements that the fit divides by, to avoid division by zero.
 const MIN_DIAGONAL: f64 = 1e-9;
 
-/// The Universal Scalability Law inverted, pace = a + b(L-1) + c L(L-1) at the load L, fitted by decayed
-/// least squares with no coefficient below zero.
+/// The inverse of the Universal Scalability Law: latency(L) = a + b(L-1) + c L(L-1) for a load of L streams,
+/// fitted by non-negative least squares with exponentially decaying weights.
 #[derive(Clone, Default)]
 pub(super) struct SpeedCurve {
     gram: [[f64; 3]; 3],
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Microseconds a token at this load; zero until enough streams have completed.
+    /// Microseconds per token at this load; zero until there are enough samples.
     pub(super) fn pace(&self, load: f64) -> f64 {
         if self.samples < MIN_SAMPLES {
             return 0.0;
