--- a/src/scheduler_handle/command.rs
+++ b/src/scheduler_handle/command.rs
@@ -1,42 +1,43 @@
-//! Commands: the scheduler's actions as a request's task or the fleet carries them out.
+//! Commands: the scheduler's actions, addressed to the task of a request or to the fleet.
 
 use crate::scheduler::{AttemptId, EndpointId, Micros};
 
-/// Where an attempt goes, and in what time.
+/// The destination and time limits of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SendCommand {
-    /// To which endpoint.
+    /// The endpoint to send the request to.
     pub endpoint: EndpointId,
-    /// Abort the attempt after this long without a first response.
+    /// Abort the attempt if there is no response within this time.
     pub timeout: Micros,
-    /// The attempt must begin within this time, or not at all.
+    /// Start the attempt within this time or not at all.
     pub start_within: Option<Micros>,
 }
 
-/// What the scheduler wants of one request's task.
+/// A command to the task of a request.
 #[derive(Debug, PartialEq)]
 pub enum RequestCommand {
     /// Send the request to an endpoint.
     Send(SendCommand),
     /// Cancel an attempt.
     Cancel(AttemptId),
-    /// Final answer: rejected; the client should retry after this long, if at all.
+    /// Final answer: the request was rejected. The client should retry after this time, if given.
     Reject(Option<Micros>),
-    /// Final answer: failed.
+    /// Final answer: the request failed.
     Fail,
-    /// Release everything that is reserved for the request.
+    /// Release all reservations of the request.
     ReleaseReservation,
-    /// End the running stream, to be resumed elsewhere. No decision of the present scheduler asks for it.
+    /// End the running stream so that it can be resumed elsewhere. The scheduler does not currently emit
+    /// this.
     Migrate,
-    /// The scheduler has been notified that the client disconnected, and sends no further command.
+    /// The scheduler has processed the client's disconnect and sends no further commands.
     Forgotten,
 }
 
-/// What the scheduler wants of the fleet of endpoints.
+/// A command that concerns the endpoints rather than a single request.
 #[derive(Debug)]
 pub enum FleetCommand {
     /// Check an endpoint's health and load.
     HealthCheck(EndpointId),
-    /// Close idle connections to an endpoint. No decision of the present scheduler asks for it.
+    /// Close idle connections to an endpoint. The scheduler does not currently emit this.
     CloseIdleConnections(EndpointId),
 }
--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -1,8 +1,8 @@
-//! Handles by which the rest of the process reaches the scheduler, which runs in a task of its own.
+//! Handles to the scheduler, which runs in its own task.
 //!
-//! - [`SchedulerHandle`] submits requests and reports what happens at the endpoints.
-//! - [`RequestHandle`] is one request's place at the scheduler: commands come out, events go in.
-//! - `command` names what the scheduler's actions ask of a request's task or of the fleet.
+//! - [`SchedulerHandle`] submits requests and reports events that concern endpoints.
+//! - [`RequestHandle`] receives the commands for one request and reports its events.
+//! - `command` defines the commands sent to request tasks and to the fleet.
 //! - `task` owns the [`Scheduler`].
 
 mod command;
@@ -24,7 +24,7 @@
 };
 use task::{SchedulerInput, SchedulerTask};
 
-/// A handle to the task that owns a [`Scheduler`]; clones reach the same one.
+/// A handle to the task that owns a [`Scheduler`]. Clones refer to the same task.
 #[derive(Clone)]
 pub struct SchedulerHandle {
     inputs: UnboundedSender<SchedulerInput>,
@@ -32,7 +32,7 @@
 }
 
 impl SchedulerHandle {
-    /// Starts a scheduler on the current local task set. The receiver gives what it wants of the fleet.
+    /// Starts a scheduler on the current local task set. The receiver yields the commands for the fleet.
     pub fn start(settings: Settings, seed: u64, clock: Clock) -> (Self, UnboundedReceiver<FleetCommand>) {
         let (inputs, queue) = mpsc::unbounded_channel();
         let (fleet, fleet_commands) = mpsc::unbounded_channel();
@@ -47,7 +47,7 @@
         (SchedulerHandle { inputs, last_request: Rc::default() }, fleet_commands)
     }
 
-    /// Submits a new request; its id is assigned here.
+    /// Submits a new request and assigns its id.
     pub fn submit(&self, mut spec: RequestSpec) -> RequestHandle {
         let id = RequestId(self.last_request.get() + 1);
         self.last_request.set(id.0);
@@ -57,7 +57,7 @@
         RequestHandle { id, scheduler: self.clone(), commands }
     }
 
-    /// Reports the endpoint list, as a snapshot or as a delta.
+    /// Reports a snapshot or a delta of the endpoint list.
     pub fn endpoints_changed(&self, snapshot: bool, updates: Vec<EndpointUpdate>) {
         self.notify(Event::EndpointsChanged { snapshot, updates });
     }
@@ -67,7 +67,7 @@
         self.notify(Event::WatchFailed);
     }
 
-    /// Reports how a health check ended, with the endpoint's load report where one came along.
+    /// Reports the result of a health check, with the endpoint's load report if there was one.
     pub fn health_checked(&self, endpoint: EndpointId, outcome: Outcome, load_report: Option<LoadReport>) {
         self.notify(Event::HealthChecked { endpoint, outcome, load_report });
     }
@@ -77,31 +77,31 @@
     }
 
     fn send(&self, input: SchedulerInput) {
-        // The scheduler's task lives as long as the process, so this fails only while the process ends.
+        // The scheduler task runs until the process exits, so this can only fail during shutdown.
         let _ = self.inputs.send(input);
     }
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptSummary {
-    /// Which attempt.
+    /// The attempt that ended.
     pub attempt: AttemptId,
-    /// At which endpoint.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Nothing more is owed to the client.
+    /// Whether the request has received its final answer or needs none.
     pub is_final: bool,
-    /// Prompt tokens that were found in the endpoint's cache.
+    /// Prompt tokens found in the endpoint's cache.
     pub cached_tokens: f64,
     /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// The endpoint's load report, where one came along.
+    /// The endpoint's load report, if the response included one.
     pub load_report: Option<LoadReport>,
 }
 
-/// One request's place at the scheduler, given back when dropped.
+/// The registration of one request with the scheduler; removed on drop.
 pub struct RequestHandle {
     id: RequestId,
     scheduler: SchedulerHandle,
@@ -109,17 +109,18 @@
 }
 
 impl RequestHandle {
-    /// The next command. Without a scheduler there is none, and the request has failed. Cancel safe.
+    /// Waits for the next command. Returns [`RequestCommand::Fail`] if the scheduler has stopped. Cancel
+    /// safe.
     pub async fn next_command(&mut self) -> RequestCommand {
         self.commands.recv().await.unwrap_or(RequestCommand::Fail)
     }
 
-    /// Reports that the first token of an answer came, `elapsed` after its attempt was sent.
+    /// Reports the first token of an answer, received `elapsed` after the attempt was sent.
     pub fn first_token(&self, attempt: AttemptId, endpoint: EndpointId, elapsed: Micros) {
         self.scheduler.notify(Event::FirstToken { request: self.id, attempt, endpoint, elapsed });
     }
 
-    /// Reports how an attempt ended.
+    /// Reports the end of an attempt.
     pub fn attempt_finished(&self, summary: AttemptSummary) {
         let AttemptSummary { attempt, endpoint, outcome, is_final, cached_tokens, elapsed, load_report } =
             summary;
@@ -135,7 +136,7 @@
         });
     }
 
-    /// Reports that the client disconnected; [`RequestCommand::Forgotten`] follows.
+    /// Reports that the client disconnected. The scheduler replies with [`RequestCommand::Forgotten`].
     pub fn client_disconnected(&self) {
         self.scheduler.notify(Event::ClientDisconnected(self.id));
     }
--- a/src/scheduler_handle/task.rs
+++ b/src/scheduler_handle/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns a [`Scheduler`]: it turns inputs into events, and actions into commands.
+//! The task that owns a [`Scheduler`]: converts inputs to events, and actions to commands.
 
 use std::collections::HashMap;
 
@@ -10,54 +10,53 @@
 use crate::clock::{Clock, duration_from_micros};
 use crate::scheduler::{Action, Event, Micros, RequestId, RequestSpec, Scheduler};
 
-/// How many inputs one round takes at most. It bounds the time for which the other tasks of the process wait,
-/// as all of them share one thread.
+/// Maximum number of inputs handled per round. Bounds how long the other tasks of the process wait, as all
+/// tasks share one thread.
 const MAX_INPUTS_PER_ROUND: usize = 256;
 
-/// What the handles send to the task.
+/// A message from a handle to the scheduler task.
 pub(super) enum SchedulerInput {
-    /// A new request, and where its commands go.
+    /// Submits a new request.
     Submit {
-        /// The request, with its id.
+        /// The request, with its id assigned.
         spec: RequestSpec,
-        /// Where its commands go.
+        /// Channel for the request's commands.
         commands: UnboundedSender<RequestCommand>,
     },
-    /// Something happened.
+    /// An event for the scheduler.
     Notify(Event),
-    /// A request's task has ended and takes no further command.
+    /// The task of a request has ended and receives no further commands.
     TaskEnded(RequestId),
 }
 
-/// One round of inputs, sorted by when each takes effect.
+/// The inputs of one round, grouped by when they take effect.
 #[derive(Default)]
 struct Round {
-    /// Handled by the scheduler, in the order in which they came.
+    /// Events for the scheduler, in order of arrival.
     events: Vec<Event>,
-    /// Requests whose clients disconnected: their tasks are notified after the round's commands.
+    /// Requests whose clients disconnected. Their tasks are notified after the commands of the round.
     disconnected: Vec<RequestId>,
-    /// Requests whose tasks have ended: they are removed last.
+    /// Requests whose tasks have ended. They are removed at the end of the round.
     ended: Vec<RequestId>,
 }
 
-/// The sole owner of a [`Scheduler`].
+/// Owns the [`Scheduler`] and processes its inputs.
 ///
-/// All that the scheduler learns comes through one queue, so its decisions need no locks and follow from the
-/// order of the queue alone. Whatever has queued up since the last round is one batch of events and is
-/// handled at one point in time, just as a batch of the simulator is, so that the scheduler decides with all
-/// of it known.
+/// All inputs arrive through one queue, so decisions need no locks and depend only on the order of the queue.
+/// The inputs queued since the last round form one batch that is handled at a single point in time, as in the
+/// simulator, so that each decision takes all of them into account.
 pub(super) struct SchedulerTask {
     pub(super) scheduler: Scheduler,
     pub(super) clock: Clock,
-    /// Where the commands go, for each request whose task has not ended.
+    /// Command channels of the requests whose tasks have not ended.
     pub(super) requests: HashMap<RequestId, UnboundedSender<RequestCommand>>,
-    /// For timers that fire. As the task holds a sender of its own queue, it runs until the process ends.
+    /// Sender for fired timers. It also keeps the queue open, so the task runs until the process exits.
     pub(super) inputs: UnboundedSender<SchedulerInput>,
     pub(super) fleet: UnboundedSender<FleetCommand>,
 }
 
 impl SchedulerTask {
-    /// Runs round after round.
+    /// Processes rounds of inputs until the queue is closed.
     pub(super) async fn run(mut self, mut queue: UnboundedReceiver<SchedulerInput>) {
         let mut inputs = Vec::new();
         let mut round = Round::default();
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Adds an input to the round. A new request can be sent commands from here on.
+    /// Adds an input to the round. A new request can receive commands from this point on.
     fn accept(&mut self, input: SchedulerInput, round: &mut Round) {
         match input {
             SchedulerInput::Submit { spec, commands } => {
@@ -91,7 +90,7 @@
         }
     }
 
-    /// Sends what follows the round's commands, and empties the round for the next one.
+    /// Completes the round after its commands have been sent, and clears it for reuse.
     fn finish_round(&mut self, round: &mut Round) {
         round.events.clear();
         for id in round.disconnected.drain(..) {
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Passes one action on to whoever carries it out.
+    /// Forwards an action to the component that executes it.
     fn carry_out(&self, action: Action) {
         match action {
             Action::Send { request, endpoint, timeout, start_within } => {
@@ -125,7 +124,8 @@
                 self.send_fleet_command(FleetCommand::CloseIdleConnections(endpoint));
             }
             Action::SetTimer { token, after } => self.start_timer(token, after),
-            // The endpoint list is always watched, and the protocols have no reservation ahead of a request.
+            // The endpoint list is always watched, and neither protocol supports reservations ahead of a
+            // request.
             Action::FetchEndpoints | Action::WatchEndpoints | Action::ReserveAhead { .. } => {}
             Action::Log(note) => tracing::info!(note = %note, "scheduler"),
         }
@@ -133,17 +133,17 @@
 
     fn send_command(&self, request: RequestId, command: RequestCommand) {
         if let Some(commands) = self.requests.get(&request) {
-            // It fails only for a task that has just ended, which needs no command.
+            // Sending fails only if the task has just ended and needs no commands.
             let _ = commands.send(command);
         }
     }
 
     fn send_fleet_command(&self, command: FleetCommand) {
-        // It fails only while the process ends.
+        // Sending fails only while the process shuts down.
         let _ = self.fleet.send(command);
     }
 
-    /// Notifies the scheduler after a while.
+    /// Sends a timer event to the scheduler after the given time.
     fn start_timer(&self, token: u64, after: Micros) {
         let inputs = self.inputs.clone();
         spawn_local(async move {
