--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use super::action::Action;
-use super::decaying_average::FLEET_GAIN;
+use super::decaying_average::FLEET_SAMPLE_WEIGHT;
 use super::estimates::PREFILL_OVERHEAD_TOKENS;
 use super::event::RequestSpec;
 use super::hashing::unit_hash;
@@ -31,11 +31,11 @@
             return;
         }
         if !spec.is_retry {
-            self.arrivals.count(now);
+            self.arrivals.record_arrival(now);
         }
         let over_quota = self.exceeds_quota(now, spec.tenant);
         let request = Request::new(now, spec, &self.settings.classes[spec.class.0], over_quota);
-        self.learn_request_footprint(request.footprint_tokens);
+        self.record_request_footprint(request.footprint_tokens);
         self.requests.insert(spec.id, request);
         self.enqueue(spec.id);
         self.query_prefill_queues(now, spec.id, out);
@@ -54,10 +54,10 @@
             })
     }
 
-    fn learn_request_footprint(&mut self, footprint_tokens: f64) {
+    fn record_request_footprint(&mut self, footprint_tokens: f64) {
         let mean = &mut self.estimates.request_footprint;
-        let gain = if *mean > 0.0 { FLEET_GAIN } else { 1.0 };
-        *mean += gain * (footprint_tokens - *mean);
+        let sample_weight = if *mean > 0.0 { FLEET_SAMPLE_WEIGHT } else { 1.0 };
+        *mean += sample_weight * (footprint_tokens - *mean);
     }
 
     /// Admits requests of the objective tier until none in the admission window passes the check. If the tier
--- a/src/scheduler/arrival_rate.rs
+++ b/src/scheduler/arrival_rate.rs
@@ -1,13 +1,13 @@
 //! The rate at which requests arrive at this replica.
 
 use super::Scheduler;
-use super::decaying_average::{DecayingAverage, HALF_LIFE};
+use super::decaying_average::{DecayingAverage, HALF_LIFE_US};
 use super::endpoint::Pool;
 use super::ids::Micros;
 
 /// Lower bound of the observed fraction of the averaging window, by which a rate is scaled up; reached after
 /// about one second.
-const MIN_OBSERVED_SHARE: f64 = 0.1;
+const MIN_OBSERVED_FRACTION: f64 = 0.1;
 
 /// A decaying count of arrivals, excluding retries.
 #[derive(Clone, Copy, Default)]
@@ -19,20 +19,20 @@
 
 impl ArrivalRate {
     /// Starts counting; later calls have no effect.
-    pub(super) fn start(&mut self, now: Micros) {
+    pub(super) fn start_counting(&mut self, now: Micros) {
         self.started_at.get_or_insert(now);
     }
 
     /// Counts the first try of a request; retries by the client are not counted.
-    pub(super) fn count(&mut self, now: Micros) {
-        self.count.count(now);
+    pub(super) fn record_arrival(&mut self, now: Micros) {
+        self.count.add_occurrence(now);
     }
 
     /// Arrivals per microsecond, scaled up while the averaging window is only partly covered.
     fn per_microsecond(&self, now: Micros) -> f64 {
         let started_at = self.started_at.unwrap_or(now);
-        let observed_share = 1.0 - 0.5f64.powf((now - started_at) as f64 / HALF_LIFE);
-        self.count.get(now, 0.0) / observed_share.max(MIN_OBSERVED_SHARE) / HALF_LIFE
+        let observed_fraction = 1.0 - 0.5f64.powf((now - started_at) as f64 / HALF_LIFE_US);
+        self.count.value_at(now, 0.0) / observed_fraction.max(MIN_OBSERVED_FRACTION) / HALF_LIFE_US
     }
 }
 
--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -88,11 +88,11 @@
         endpoint.pending_attempts.remove(&id);
         request.start_streaming(now);
         if request.reservation().is_some() {
-            self.learn_first_token_latency(now, at, elapsed);
+            self.record_first_token_latency(now, at, elapsed);
         } else {
             endpoint.remember_prefix(&request.spec);
             let tokens = request.uncached_tokens + PREFILL_OVERHEAD_TOKENS;
-            self.learn_prefill_time(now, at, tokens, elapsed as f64);
+            self.record_prefill_time(now, at, tokens, elapsed as f64);
         }
     }
 
@@ -100,7 +100,7 @@
     pub(super) fn attempt_finished(&mut self, now: Micros, result: &AttemptResult, out: &mut Vec<Action>) {
         let sent_at = self.take_pending_attempt(now, result);
         if result.outcome == Outcome::TimedOut {
-            self.learn_from_timeout(now, result);
+            self.record_timeout(now, result);
         }
         self.record_outcome(now, result, sent_at, out);
         let id = result.request;
@@ -136,15 +136,15 @@
 
     /// Records a timeout as a latency sample. Estimates from successful attempts alone are too low under
     /// congestion.
-    fn learn_from_timeout(&mut self, now: Micros, result: &AttemptResult) {
+    fn record_timeout(&mut self, now: Micros, result: &AttemptResult) {
         let Some(request) = self.requests.get(&result.request) else { return };
         match request.state {
             RequestState::Prefilling { .. } => {
-                let uncached_tokens = request.uncached_tokens;
-                self.learn_own_prefill(now, result.request, result.endpoint, uncached_tokens, result.elapsed);
+                let tokens = request.uncached_tokens;
+                self.record_own_prefill(now, result.request, result.endpoint, tokens, result.elapsed);
             }
             RequestState::Decoding(_) => {
-                self.learn_first_token_latency(now, result.endpoint, result.elapsed);
+                self.record_first_token_latency(now, result.endpoint, result.elapsed);
             }
             RequestState::Queued(_) | RequestState::Prefilled(_) | RequestState::Streaming(_) => {}
         }
@@ -157,7 +157,7 @@
         match result.outcome {
             Outcome::Completed => {
                 self.record_success(now, result.endpoint);
-                self.learn_speed(now, result.request, result.endpoint);
+                self.record_decode_speed(now, result.request, result.endpoint);
             }
             Outcome::Prefilled => self.record_prefill(now, result),
             Outcome::Rejected => self.record_rejection(now, result),
@@ -171,11 +171,11 @@
 
     fn record_prefill(&mut self, now: Micros, result: &AttemptResult) {
         self.record_success(now, result.endpoint);
-        self.learn_cache_hit_ratio(result.request, result.endpoint, result.cached_tokens);
+        self.record_cache_hit_ratio(result.request, result.endpoint, result.cached_tokens);
         let prompt_tokens = self.requests.get(&result.request).map(|request| request.spec.prompt_tokens);
         let Some(prompt_tokens) = prompt_tokens else { return };
         let uncached_tokens = (prompt_tokens - result.cached_tokens).max(0.0);
-        self.learn_own_prefill(now, result.request, result.endpoint, uncached_tokens, result.elapsed);
+        self.record_own_prefill(now, result.request, result.endpoint, uncached_tokens, result.elapsed);
         let Some(request) = self.requests.get(&result.request) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&result.endpoint) else { return };
         endpoint.remember_prefill(&request.spec, result.cached_tokens);
--- a/src/scheduler/decode_capacity.rs
+++ b/src/scheduler/decode_capacity.rs
@@ -60,9 +60,9 @@
         let joins = !endpoint.streams.contains(&request.id());
         let streams = self.stream_count(now, endpoint) + if joins { 1.0 } else { 0.0 };
         let warmup_factor = endpoint.warmup_factor(now, &self.settings.rules);
-        let pace = self.speed_curves[endpoint.kind.0].pace(streams) / warmup_factor;
+        let latency = self.speed_curves[endpoint.kind.0].inter_token_latency(streams) / warmup_factor;
         let objectives = self.own_streams(endpoint).map(|stream| stream.inter_token_objective);
-        pace / (objectives.fold(request.inter_token_objective, f64::min) * PACE_HEADROOM)
+        latency / (objectives.fold(request.inter_token_objective, f64::min) * PACE_HEADROOM)
     }
 
     /// KV cache memory in use with this request added, as a fraction of the target.
@@ -90,10 +90,10 @@
     /// towards the fleet mean.
     fn external_tokens(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let mean = if endpoint.memory_tokens.is_finite() {
-            self.estimates.external_share * endpoint.memory_tokens
+            self.estimates.external_fraction * endpoint.memory_tokens
         } else {
             0.0
         };
-        endpoint.external_tokens.map_or(mean, |reported| reported.get(now, mean))
+        endpoint.external_tokens.map_or(mean, |reported| reported.value_at(now, mean))
     }
 }
--- a/src/scheduler/load_report.rs
+++ b/src/scheduler/load_report.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use super::action::Action;
-use super::decaying_average::{DecayingAverage, FLEET_GAIN};
+use super::decaying_average::{DecayingAverage, FLEET_SAMPLE_WEIGHT};
 use super::endpoint::{EndpointState, Pool};
 use super::event::LoadReport;
 use super::hashing::unit_hash;
@@ -11,7 +11,7 @@
 /// How long a load report is valid; every endpoint renews its report at least this often.
 pub(super) const LOAD_REPORT_LIFETIME: Micros = 1_000_000;
 /// Mean microseconds between health checks of one decode endpoint, over all replicas together.
-const FLEET_HEALTH_CHECK_INTERVAL: f64 = 350_000.0;
+const FLEET_HEALTH_CHECK_INTERVAL_US: f64 = 350_000.0;
 /// How long a request waits for load reports: two round trips and a handshake, short compared with any
 /// objective.
 const QUEUE_QUERY_TIMEOUT: Micros = 15_000;
@@ -45,8 +45,9 @@
         let streaming = self.own_streams(endpoint).filter(|request| request.is_streaming());
         let own_tokens: f64 = streaming.map(|request| request.footprint_tokens).sum();
         let external_tokens = (utilization * endpoint.memory_tokens - own_tokens).max(0.0);
-        let external_share = external_tokens / endpoint.memory_tokens.max(1.0);
-        self.estimates.external_share += FLEET_GAIN * (external_share - self.estimates.external_share);
+        let external_fraction = external_tokens / endpoint.memory_tokens.max(1.0);
+        self.estimates.external_fraction +=
+            FLEET_SAMPLE_WEIGHT * (external_fraction - self.estimates.external_fraction);
         if let Some(reporter) = self.endpoints.get_mut(&id) {
             reporter.external_tokens = Some(DecayingAverage::new(now, external_tokens));
         }
@@ -59,7 +60,7 @@
         if !enabled || self.requests.is_empty() || self.receives_enough_reports(now, Pool::Decode) {
             return;
         }
-        let mean_interval = FLEET_HEALTH_CHECK_INTERVAL * f64::from(self.settings.replicas);
+        let mean_interval = FLEET_HEALTH_CHECK_INTERVAL_US * f64::from(self.settings.replicas);
         let due = |endpoint: &&mut EndpointState| {
             endpoint.pool() == Pool::Decode && endpoint.is_ready() && now >= endpoint.health_check_at
         };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -98,7 +98,7 @@
 
     /// Processes the events that occurred up to `now` and appends the resulting actions in order.
     pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
-        self.arrivals.start(now);
+        self.arrivals.start_counting(now);
         self.accrue_slow_start_credit(now);
         for event in events {
             self.handle_event(now, event, out);
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -4,9 +4,9 @@
 use super::ids::{Micros, TenantId};
 
 /// Factor on an even split of a quota among replicas, because traffic is not evenly distributed.
-const REPLICA_SLACK: f64 = 1.25;
+const REPLICA_QUOTA_FACTOR: f64 = 1.25;
 /// Microseconds' worth of quota that can be used in a burst.
-const BURST_DURATION: f64 = 2e6;
+const BURST_DURATION_US: f64 = 2e6;
 
 /// A token bucket. The refill rate is passed to each call.
 #[derive(Clone, Copy)]
@@ -23,7 +23,7 @@
 
     /// Refills at `rate` tokens per microsecond and takes a token if one is available.
     fn take(&mut self, now: Micros, rate: f64) -> bool {
-        let capacity = (rate * BURST_DURATION).max(1.0);
+        let capacity = (rate * BURST_DURATION_US).max(1.0);
         self.tokens = (self.tokens + rate * (now - self.refilled_at) as f64).min(capacity);
         self.refilled_at = now;
         let available = self.tokens >= 1.0;
@@ -40,7 +40,7 @@
         let Some(tenant) = tenant else { return false };
         let Some(bucket) = self.quotas.get_mut(tenant.0) else { return false };
         let quota_per_s = self.settings.tenants[tenant.0].quota_per_s;
-        let rate = quota_per_s * REPLICA_SLACK / f64::from(self.settings.replicas) / 1e6;
+        let rate = quota_per_s * REPLICA_QUOTA_FACTOR / f64::from(self.settings.replicas) / 1e6;
         !bucket.take(now, rate)
     }
 }
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -6,7 +6,7 @@
 use super::settings::RequestClass;
 
 /// Expected output length as a fraction of the maximum, if the request has no hint.
-const EXPECTED_OUTPUT_SHARE: f64 = 0.3;
+const EXPECTED_OUTPUT_FRACTION: f64 = 0.3;
 
 /// The state of a request.
 ///
@@ -123,7 +123,7 @@
         let inter_token_objective = class.inter_token_objective.max(1) as f64;
         let hinted = spec.stream_duration_hint.map(|hint| hint as f64 / inter_token_objective);
         let expected_output_tokens = hinted
-            .map_or(spec.max_output_tokens * EXPECTED_OUTPUT_SHARE, |tokens| {
+            .map_or(spec.max_output_tokens * EXPECTED_OUTPUT_FRACTION, |tokens| {
                 tokens.min(spec.max_output_tokens)
             })
             .max(1.0);
--- a/src/scheduler/speed_curve.rs
+++ b/src/scheduler/speed_curve.rs
@@ -26,7 +26,7 @@
 
 impl SpeedCurve {
     /// Adds a stream of `tokens` that took `duration` microseconds at this load.
-    pub(super) fn learn(&mut self, load: f64, tokens: f64, duration: f64) {
+    pub(super) fn add_sample(&mut self, load: f64, tokens: f64, duration: f64) {
         let basis = basis(load);
         for (row, row_value) in basis.iter().enumerate() {
             for (column, column_value) in basis.iter().enumerate() {
@@ -51,7 +51,7 @@
     }
 
     /// Microseconds per token at this load; zero until there are enough samples.
-    pub(super) fn pace(&self, load: f64) -> f64 {
+    pub(super) fn inter_token_latency(&self, load: f64) -> f64 {
         if self.samples < MIN_SAMPLES {
             return 0.0;
         }
