--- a/src/scheduler/decode_selection.rs
+++ b/src/scheduler/decode_selection.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use super::action::Action;
-use super::decode_capacity::FirstTokenTest;
+use super::decode_capacity::CapacityCheck;
 use super::endpoint::{EndpointState, Pool};
 use super::hashing::rendezvous_score;
 use super::ids::{EndpointId, Micros, RequestId};
@@ -11,30 +11,30 @@
 
 /// Exponent of the headroom in a decode endpoint's weight. Favours the endpoint with the most headroom
 /// without sending all replicas to it.
-const ROOM_EXPONENT: f64 = 4.0;
+const HEADROOM_EXPONENT: f64 = 4.0;
 /// Weight of a decode endpoint in another zone, relative to 1 in the same zone; transfers between zones cost
 /// more.
 const OTHER_ZONE_WEIGHT: f64 = 0.25;
 /// Fraction of the reservation limit after which a KV cache may go to a decode endpoint that fails the check.
-const UNTESTED_DECODE_SHARE: f64 = 0.4;
+const UNCHECKED_DECODE_FRACTION: f64 = 0.4;
 /// Fraction of the reservation limit after which a KV cache is released; an attempt sent later could not
 /// start in time.
-const RELEASE_SHARE: f64 = 0.8;
+const RELEASE_FRACTION: f64 = 0.8;
 
 /// Criteria for selecting a decode endpoint.
 #[derive(Clone, Copy)]
-pub(super) struct DecodeChoice<'a> {
+pub(super) struct DecodeCriteria<'a> {
     pub(super) now: Micros,
     pub(super) request: &'a Request,
     /// The endpoint that has or will have the KV cache; `None` if the decode endpoint also prefills.
     pub(super) prefill: Option<&'a EndpointState>,
     /// The check to pass; `None` to allow any eligible endpoint.
-    pub(super) test: Option<FirstTokenTest>,
+    pub(super) check: Option<CapacityCheck>,
 }
 
 /// Whether a decode endpoint must be in the same cell as the KV cache.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Reach {
+enum CellConstraint {
     SameCell,
     AnyCell,
 }
@@ -42,30 +42,30 @@
 impl Scheduler {
     /// Selects an eligible decode endpoint that passes the check. The draw is random and weighted by
     /// headroom, so that replicas with the same state do not all select the same endpoint.
-    pub(super) fn choose_decode(
-        &self, choice: &DecodeChoice<'_>, eligible: impl Fn(&EndpointState) -> bool,
+    pub(super) fn select_decode(
+        &self, criteria: &DecodeCriteria<'_>, eligible: impl Fn(&EndpointState) -> bool,
     ) -> Option<EndpointId> {
         let candidates = self.endpoints.values().filter(|endpoint| {
             endpoint.pool() == Pool::Decode
-                && self.accepts(choice.now, endpoint, choice.request)
+                && self.accepts(criteria.now, endpoint, criteria.request)
                 && eligible(endpoint)
         });
         let scored = candidates
-            .filter_map(|endpoint| self.decode_score(choice, endpoint).map(|score| (score, endpoint.id)));
+            .filter_map(|endpoint| self.decode_score(criteria, endpoint).map(|score| (score, endpoint.id)));
         scored.max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 
     /// The endpoint's score in the weighted draw, or `None` if it fails the check. An endpoint without
     /// headroom scores below every endpoint that has some.
-    fn decode_score(&self, choice: &DecodeChoice<'_>, endpoint: &EndpointState) -> Option<f64> {
-        let request = choice.request;
-        let room = self.room(choice.now, request, endpoint, choice.test)?;
-        if room > 0.0 {
-            let locality = choice.prefill.map_or(1.0, |prefill| locality_weight(prefill, endpoint));
-            let weight = room.powf(ROOM_EXPONENT) * locality;
+    fn decode_score(&self, criteria: &DecodeCriteria<'_>, endpoint: &EndpointState) -> Option<f64> {
+        let request = criteria.request;
+        let headroom = self.headroom(criteria.now, request, endpoint, criteria.check)?;
+        if headroom > 0.0 {
+            let locality = criteria.prefill.map_or(1.0, |prefill| locality_weight(prefill, endpoint));
+            let weight = headroom.powf(HEADROOM_EXPONENT) * locality;
             Some(rendezvous_score(endpoint.id.0, self.salt ^ request.id().0, weight))
         } else {
-            Some(room)
+            Some(headroom)
         }
     }
 
@@ -103,11 +103,11 @@
     fn must_release(&self, now: Micros, request: &Request, reservation: CacheReservation) -> bool {
         request.attempts() >= self.settings.capabilities.max_attempts
             || now >= request.deadline - FINAL_ANSWER_MARGIN
-            || self.reserved_share(now, reservation) >= RELEASE_SHARE
+            || self.reserved_fraction(now, reservation) >= RELEASE_FRACTION
     }
 
     /// Time for which a KV cache has been reserved, as a fraction of the reservation limit.
-    fn reserved_share(&self, now: Micros, reservation: CacheReservation) -> f64 {
+    fn reserved_fraction(&self, now: Micros, reservation: CacheReservation) -> f64 {
         let reserved_for = (now - reservation.reserved_since) as f64;
         reserved_for / self.settings.rules.reservation_limit.max(1) as f64
     }
@@ -118,38 +118,39 @@
     fn decode_for_reservation(
         &self, now: Micros, request: &Request, reservation: CacheReservation, earliest_first_token: Micros,
     ) -> Option<EndpointId> {
-        let mut test = FirstTokenTest::new(request, 0.0);
+        let mut check = CapacityCheck::new(request, 0.0);
         if earliest_first_token > request.objective_at {
             // The objective can no longer be met, so there is no benefit in waiting for it.
-            test.limit = request.deadline;
+            check.first_token_due_at = request.deadline;
         }
         let prefill = self.endpoints.get(&reservation.prefill_endpoint);
-        let tested = DecodeChoice { now, request, prefill, test: Some(test) };
-        let untested = DecodeChoice { test: None, ..tested };
-        self.choose_decode(&tested, |endpoint| endpoint.streams.contains(&request.id()))
-            .or_else(|| self.choose_away_from_silent_cell(&tested))
-            .or_else(|| self.choose_nearest(&tested))
+        let checked = DecodeCriteria { now, request, prefill, check: Some(check) };
+        let unchecked = DecodeCriteria { check: None, ..checked };
+        self.select_decode(&checked, |endpoint| endpoint.streams.contains(&request.id()))
+            .or_else(|| self.select_outside_silent_cell(&checked))
+            .or_else(|| self.select_nearest(&checked))
             .or_else(|| {
-                let may_skip_test = self.reserved_share(now, reservation) >= UNTESTED_DECODE_SHARE;
-                if may_skip_test { self.choose_nearest(&untested) } else { None }
+                let may_skip_check = self.reserved_fraction(now, reservation) >= UNCHECKED_DECODE_FRACTION;
+                if may_skip_check { self.select_nearest(&unchecked) } else { None }
             })
     }
 
     /// Selects an endpoint outside the cell of the last unresponsive one, because congestion and packet loss
     /// mostly affect the whole cell.
-    fn choose_away_from_silent_cell(&self, choice: &DecodeChoice<'_>) -> Option<EndpointId> {
-        let silent_cell = choice.request.silent_cell?;
-        self.choose_decode(choice, |endpoint| endpoint.cell != silent_cell)
+    fn select_outside_silent_cell(&self, criteria: &DecodeCriteria<'_>) -> Option<EndpointId> {
+        let silent_cell = criteria.request.silent_cell?;
+        self.select_decode(criteria, |endpoint| endpoint.cell != silent_cell)
     }
 
     /// Selects an endpoint in the same cell as the KV cache, otherwise in any cell.
-    fn choose_nearest(&self, choice: &DecodeChoice<'_>) -> Option<EndpointId> {
-        let choose = |reach: Reach| {
-            self.choose_decode(choice, |endpoint| {
-                reach == Reach::AnyCell || choice.prefill.is_none_or(|prefill| prefill.cell == endpoint.cell)
+    fn select_nearest(&self, criteria: &DecodeCriteria<'_>) -> Option<EndpointId> {
+        let select = |constraint: CellConstraint| {
+            self.select_decode(criteria, |endpoint| {
+                constraint == CellConstraint::AnyCell
+                    || criteria.prefill.is_none_or(|prefill| prefill.cell == endpoint.cell)
             })
         };
-        choose(Reach::SameCell).or_else(|| choose(Reach::AnyCell))
+        select(CellConstraint::SameCell).or_else(|| select(CellConstraint::AnyCell))
     }
 
     /// Assigns the request to a decode endpoint, which counts it as one of its streams.
--- a/src/scheduler/load_report.rs
+++ b/src/scheduler/load_report.rs
@@ -17,7 +17,7 @@
 const QUEUE_QUERY_TIMEOUT: Micros = 15_000;
 /// Largest memory utilization accepted from a report; above 1 because some endpoints include requests that
 /// have not arrived yet.
-const MAX_MEMORY_UTILIZATION: f64 = 2.0;
+const MAX_REPORTED_UTILIZATION: f64 = 2.0;
 
 impl Scheduler {
     /// Records a load report; implausible values are clamped or ignored.
@@ -35,7 +35,7 @@
 
     /// Derives the tokens of other replicas' requests: the memory in use minus this replica's own streams.
     fn record_memory_utilization(&mut self, now: Micros, id: EndpointId, utilization: f64) {
-        if !(0.0..=MAX_MEMORY_UTILIZATION).contains(&utilization) {
+        if !(0.0..=MAX_REPORTED_UTILIZATION).contains(&utilization) {
             return;
         }
         let Some(endpoint) = self.endpoints.get(&id) else { return };
--- a/src/scheduler/prefill_selection.rs
+++ b/src/scheduler/prefill_selection.rs
@@ -1,8 +1,8 @@
 //! Selection of the prefill endpoint for a prompt and of the decode endpoint to pair it with.
 
 use super::Scheduler;
-use super::decode_capacity::FirstTokenTest;
-use super::decode_selection::DecodeChoice;
+use super::decode_capacity::CapacityCheck;
+use super::decode_selection::DecodeCriteria;
 use super::endpoint::{EndpointState, Pool};
 use super::hashing::{rendezvous_score, unit_hash};
 use super::ids::{CacheKey, EndpointId, Micros, RequestId};
@@ -60,16 +60,16 @@
     fn pair_with(
         &self, now: Micros, request: &Request, prefill: &EndpointState, tier: Tier,
     ) -> Option<EndpointPair> {
-        let test = match tier {
+        let check = match tier {
             Tier::Objective => {
-                let ready_in = self.prefill_time(now, prefill, request) * PREFILL_TIME_MARGIN;
-                Some(FirstTokenTest::new(request, ready_in))
+                let cache_ready_in = self.prefill_time(now, prefill, request) * PREFILL_TIME_MARGIN;
+                Some(CapacityCheck::new(request, cache_ready_in))
             }
             Tier::BestEffort => None,
         };
-        let choice = DecodeChoice { now, request, prefill: Some(prefill), test };
-        let local = || self.choose_decode(&choice, |endpoint| endpoint.cell == prefill.cell);
-        let remote = || self.choose_decode(&choice, |endpoint| endpoint.cell != prefill.cell);
+        let criteria = DecodeCriteria { now, request, prefill: Some(prefill), check };
+        let local = || self.select_decode(&criteria, |endpoint| endpoint.cell == prefill.cell);
+        let remote = || self.select_decode(&criteria, |endpoint| endpoint.cell != prefill.cell);
         let beyond_local_capacity = unit_hash(prefill.id.0, request.id().0) > prefill.local_capacity_ratio;
         let decode = if beyond_local_capacity { remote().or_else(local) } else { local().or_else(remote) }?;
         Some(EndpointPair { prefill: Some(prefill.id), decode })
@@ -83,12 +83,12 @@
             let time_left = (request.objective_at - now) as f64;
             self.prefill_time(now, endpoint, request) * PREFILL_TIME_MARGIN <= time_left
         };
-        let test = match tier {
-            Tier::Objective => Some(FirstTokenTest::new(request, 0.0)),
+        let check = match tier {
+            Tier::Objective => Some(CapacityCheck::new(request, 0.0)),
             Tier::BestEffort => None,
         };
-        let choice = DecodeChoice { now, request, prefill: None, test };
-        let decode = self.choose_decode(&choice, |endpoint| {
+        let criteria = DecodeCriteria { now, request, prefill: None, check };
+        let decode = self.select_decode(&criteria, |endpoint| {
             can_prefill(endpoint.role) && (tier == Tier::BestEffort || in_time(endpoint))
         })?;
         Some(EndpointPair { prefill: None, decode })
