--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use super::action::Action;
 use super::endpoint::{EndpointState, Pool};
-use super::estimates::{PREFILL_OVERHEAD_TOKENS, SILENCE_ALLOWANCE};
+use super::estimates::{PREFILL_OVERHEAD_TOKENS, UNRESPONSIVE_ALLOWANCE_US};
 use super::ids::{EndpointId, Micros, RequestId};
 use super::outcome::Outcome;
 use super::request::{
@@ -22,7 +22,7 @@
 /// considered the cause.
 const MAX_FAILED_TRANSFERS: u32 = 2;
 /// How long a prefill endpoint receives no prefills after that; a congested link takes long to drain.
-const TRANSFER_STALL_EJECTION: Micros = 4_000_000;
+const TRANSFER_STALL_EJECTION_TIME: Micros = 4_000_000;
 /// How long other endpoints are preferred after this replica could not send to one.
 const LOCALLY_UNREACHABLE_DURATION: Micros = 100_000;
 
@@ -90,7 +90,7 @@
         if request.reservation().is_some() {
             self.record_first_token_latency(now, at, elapsed);
         } else {
-            endpoint.remember_prefix(&request.spec);
+            endpoint.record_cached_prefix(&request.spec);
             let tokens = request.uncached_tokens + PREFILL_OVERHEAD_TOKENS;
             self.record_prefill_time(now, at, tokens, elapsed as f64);
         }
@@ -178,7 +178,7 @@
         self.record_own_prefill(now, result.request, result.endpoint, uncached_tokens, result.elapsed);
         let Some(request) = self.requests.get(&result.request) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&result.endpoint) else { return };
-        endpoint.remember_prefill(&request.spec, result.cached_tokens);
+        endpoint.record_cached_prefill(&request.spec, result.cached_tokens);
     }
 
     /// Advances the request to its next state.
@@ -203,7 +203,7 @@
     ) {
         let id = result.request;
         if result.outcome == Outcome::TimedOut {
-            self.record_silence(id, result.endpoint);
+            self.record_unresponsive_endpoint(id, result.endpoint);
         }
         let transfer_stalled = self.eject_stalled_prefill_endpoint(now, id);
         self.record_possible_execution(result, sent_at);
@@ -229,10 +229,10 @@
     }
 
     /// Records that a decode endpoint did not respond, so that the next attempt goes elsewhere.
-    fn record_silence(&mut self, id: RequestId, decode: EndpointId) {
-        let silent_cell = self.endpoints.get(&decode).map(|endpoint| endpoint.cell);
+    fn record_unresponsive_endpoint(&mut self, id: RequestId, decode: EndpointId) {
+        let unresponsive_cell = self.endpoints.get(&decode).map(|endpoint| endpoint.cell);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.silent_cell = silent_cell;
+            request.unresponsive_cell = unresponsive_cell;
             if let Some(reservation) = request.reservation_mut() {
                 reservation.failed_transfers += 1;
             }
@@ -249,7 +249,7 @@
         let stalled = reservation.failed_transfers >= MAX_FAILED_TRANSFERS
             && attempts_needed <= self.settings.capabilities.max_attempts;
         if stalled && let Some(prefill) = self.endpoints.get_mut(&reservation.prefill_endpoint) {
-            prefill.transfer_stalled_until = now + TRANSFER_STALL_EJECTION;
+            prefill.transfer_stalled_until = now + TRANSFER_STALL_EJECTION_TIME;
         }
         stalled
     }
@@ -270,5 +270,5 @@
 fn attempt_timeout(expected: f64, time_left: f64) -> Micros {
     let share = time_left * MAX_ATTEMPT_SHARE;
     let max_timeout = if share > expected * MIN_TIMEOUT_MULTIPLE { share } else { time_left };
-    (expected * TIMEOUT_MULTIPLE + SILENCE_ALLOWANCE).min(max_timeout) as Micros
+    (expected * TIMEOUT_MULTIPLE + UNRESPONSIVE_ALLOWANCE_US).min(max_timeout) as Micros
 }
--- a/src/scheduler/decode_selection.rs
+++ b/src/scheduler/decode_selection.rs
@@ -43,12 +43,12 @@
     /// Selects an eligible decode endpoint that passes the check. The draw is random and weighted by
     /// headroom, so that replicas with the same state do not all select the same endpoint.
     pub(super) fn select_decode(
-        &self, criteria: &DecodeCriteria<'_>, eligible: impl Fn(&EndpointState) -> bool,
+        &self, criteria: &DecodeCriteria<'_>, predicate: impl Fn(&EndpointState) -> bool,
     ) -> Option<EndpointId> {
         let candidates = self.endpoints.values().filter(|endpoint| {
             endpoint.pool() == Pool::Decode
-                && self.accepts(criteria.now, endpoint, criteria.request)
-                && eligible(endpoint)
+                && self.is_eligible(criteria.now, endpoint, criteria.request)
+                && predicate(endpoint)
         });
         let scored = candidates
             .filter_map(|endpoint| self.decode_score(criteria, endpoint).map(|score| (score, endpoint.id)));
@@ -127,7 +127,7 @@
         let checked = DecodeCriteria { now, request, prefill, check: Some(check) };
         let unchecked = DecodeCriteria { check: None, ..checked };
         self.select_decode(&checked, |endpoint| endpoint.streams.contains(&request.id()))
-            .or_else(|| self.select_outside_silent_cell(&checked))
+            .or_else(|| self.select_outside_unresponsive_cell(&checked))
             .or_else(|| self.select_nearest(&checked))
             .or_else(|| {
                 let may_skip_check = self.reserved_fraction(now, reservation) >= UNCHECKED_DECODE_FRACTION;
@@ -137,9 +137,9 @@
 
     /// Selects an endpoint outside the cell of the last unresponsive one, because congestion and packet loss
     /// mostly affect the whole cell.
-    fn select_outside_silent_cell(&self, criteria: &DecodeCriteria<'_>) -> Option<EndpointId> {
-        let silent_cell = criteria.request.silent_cell?;
-        self.select_decode(criteria, |endpoint| endpoint.cell != silent_cell)
+    fn select_outside_unresponsive_cell(&self, criteria: &DecodeCriteria<'_>) -> Option<EndpointId> {
+        let unresponsive_cell = criteria.request.unresponsive_cell?;
+        self.select_decode(criteria, |endpoint| endpoint.cell != unresponsive_cell)
     }
 
     /// Selects an endpoint in the same cell as the KV cache, otherwise in any cell.
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -7,7 +7,7 @@
 
 impl Scheduler {
     /// Whether the endpoint may currently be sent the request, as far as this replica knows.
-    pub(super) fn accepts(&self, now: Micros, endpoint: &EndpointState, request: &Request) -> bool {
+    pub(super) fn is_eligible(&self, now: Micros, endpoint: &EndpointState, request: &Request) -> bool {
         let reachable = request
             .locally_unreachable
             .is_none_or(|unreachable| unreachable.endpoint != endpoint.id || now >= unreachable.until);
@@ -15,7 +15,7 @@
             && self.may_run_at(now, request, endpoint.id)
             && now >= endpoint.ejected_until.max(endpoint.transfer_stalled_until)
             && reachable
-            && !is_on_trial(endpoint)
+            && !has_trial_in_flight(endpoint)
             && !has_backpressure(now, endpoint, request)
             && self.has_slow_start_budget(now, endpoint)
     }
@@ -28,7 +28,7 @@
 
 /// Whether an attempt is in flight at an endpoint that has failed. Such an endpoint gets one attempt at a
 /// time until one succeeds, like a half-open circuit breaker.
-fn is_on_trial(endpoint: &EndpointState) -> bool {
+fn has_trial_in_flight(endpoint: &EndpointState) -> bool {
     endpoint.consecutive_failures > 0 && !endpoint.pending_attempts.is_empty()
 }
 
--- a/src/scheduler/endpoint.rs
+++ b/src/scheduler/endpoint.rs
@@ -104,12 +104,12 @@
     }
 
     /// Whether the endpoint was removed from the list and this replica has nothing in flight there.
-    pub(super) fn is_forgettable(&self) -> bool {
+    pub(super) fn is_removable(&self) -> bool {
         self.lifecycle == Lifecycle::Removed && self.streams.is_empty() && self.pending_attempts.is_empty()
     }
 
     /// Microseconds since the oldest attempt that still waits for its first response was sent.
-    pub(super) fn oldest_pending(&self, now: Micros) -> f64 {
+    pub(super) fn oldest_pending_age(&self, now: Micros) -> f64 {
         self.pending_attempts.values().min().map_or(0.0, |&sent_at| (now - sent_at) as f64)
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Records that the request's shared prefix is cached.
-    pub(super) fn remember_prefix(&mut self, spec: &RequestSpec) {
+    pub(super) fn record_cached_prefix(&mut self, spec: &RequestSpec) {
         if let Some(prefix) = spec.prefix {
             self.cached_prefixes.insert(prefix, spec.prefix_tokens);
         }
@@ -132,19 +132,19 @@
 
     /// Records the cache contents after a prefill that found `found_tokens` in the cache. If that is less
     /// than half of the expected tokens, the cache was lost or evicted, so all earlier entries are discarded.
-    pub(super) fn remember_prefill(&mut self, spec: &RequestSpec, found_tokens: f64) {
+    pub(super) fn record_cached_prefill(&mut self, spec: &RequestSpec, found_tokens: f64) {
         let lost = found_tokens < self.cached_tokens(spec) / 2.0;
         if lost || self.cached_prefixes.len() >= MAX_CACHED_PREFIXES {
-            self.forget_cache();
+            self.clear_cached_prefixes();
         }
-        self.remember_prefix(spec);
+        self.record_cached_prefix(spec);
         if let Some(session) = spec.session {
             self.cached_prefixes.insert(session, spec.prompt_tokens);
         }
     }
 
     /// Discards all expected cache contents.
-    pub(super) fn forget_cache(&mut self) {
+    pub(super) fn clear_cached_prefixes(&mut self) {
         self.cached_prefixes.clear();
     }
 }
--- a/src/scheduler/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -13,7 +13,7 @@
 /// Microseconds added in case an endpoint does not respond. Every timeout includes it, so that short
 /// estimates leave time for a handshake and a retransmission. It is also added to the queue time of an
 /// endpoint that has not answered a load query.
-pub(super) const SILENCE_ALLOWANCE: f64 = 300_000.0;
+pub(super) const UNRESPONSIVE_ALLOWANCE_US: f64 = 300_000.0;
 /// Microseconds to prefill one token, before the first sample.
 const INITIAL_PREFILL_COST_US_PER_TOKEN: f64 = 80.0;
 /// Microseconds from sending a request to its first token, before the first sample.
@@ -63,7 +63,7 @@
     /// the oldest pending attempt there has waited.
     pub(super) fn first_token_time(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let fleet = self.estimates.first_token_latency.last_value();
-        endpoint.first_token_latency.value_at(now, fleet).max(endpoint.oldest_pending(now))
+        endpoint.first_token_latency.value_at(now, fleet).max(endpoint.oldest_pending_age(now))
     }
 
     /// Expected microseconds until an endpoint has prefilled the prompt, including this replica's earlier
@@ -73,7 +73,7 @@
         let wait = self.prefill_queue_time(now, endpoint, cost);
         let own_tokens = self.own_prefill_tokens(endpoint);
         let tokens = own_tokens + self.uncached_tokens(endpoint, request) + PREFILL_OVERHEAD_TOKENS;
-        (wait + tokens * cost).max(endpoint.oldest_pending(now))
+        (wait + tokens * cost).max(endpoint.oldest_pending_age(now))
     }
 
     /// Expected microseconds of queued prefills from other replicas, from a recent load report or otherwise
@@ -89,7 +89,7 @@
         let query_age = now - endpoint.health_check_at;
         let query_unanswered =
             report_age > query_age && now < endpoint.health_check_at + LOAD_REPORT_LIFETIME;
-        wait + if query_unanswered { SILENCE_ALLOWANCE } else { 0.0 }
+        wait + if query_unanswered { UNRESPONSIVE_ALLOWANCE_US } else { 0.0 }
     }
 
     /// Tokens of this replica's prefills in flight at an endpoint.
--- a/src/scheduler/outcome.rs
+++ b/src/scheduler/outcome.rs
@@ -4,7 +4,7 @@
 
 /// A connection lost sooner than this after the send may have been an idle one that the endpoint had already
 /// closed; one lost later had an attempt in progress.
-const MIN_IN_PROGRESS: Micros = 100_000;
+const STALE_CONNECTION_WINDOW: Micros = 100_000;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
             | Outcome::Error
             | Outcome::TimedOut
             | Outcome::Malformed => true,
-            Outcome::ConnectionLost => elapsed >= MIN_IN_PROGRESS,
+            Outcome::ConnectionLost => elapsed >= STALE_CONNECTION_WINDOW,
             _ => false,
         }
     }
--- a/src/scheduler/outlier.rs
+++ b/src/scheduler/outlier.rs
@@ -8,20 +8,20 @@
 use super::ids::{EndpointId, Micros};
 
 /// Ejection time after the first failure; doubled by each further consecutive failure.
-const BASE_EJECTION: Micros = 250_000;
+const BASE_EJECTION_TIME: Micros = 250_000;
 /// Maximum ejection time, so that an endpoint that has recovered is used again soon.
-const MAX_EJECTION: Micros = 2_000_000;
-/// Maximum number of doublings; high enough to reach [`MAX_EJECTION`], low enough to avoid overflow.
+const MAX_EJECTION_TIME: Micros = 2_000_000;
+/// Maximum number of doublings; high enough to reach [`MAX_EJECTION_TIME`], low enough to avoid overflow.
 const MAX_EJECTION_DOUBLINGS: u32 = 10;
 /// Consecutive failures after which an endpoint that recovers is assumed to have restarted.
 const FAILURES_FOR_RESTART: u32 = 3;
 /// Consecutive malformed responses that are tolerated; healthy endpoints send one occasionally.
 const MAX_MALFORMED_RESPONSES: u32 = 2;
 /// Minimum backpressure after a rejection.
-const MIN_BACKPRESSURE: Micros = 100_000;
+const MIN_BACKPRESSURE_TIME: Micros = 100_000;
 /// Maximum backpressure. Endpoints have capacity again sooner than a longer value, derived from a rejection
 /// that congestion delayed, would expire.
-const MAX_BACKPRESSURE: Micros = 4_000_000;
+const MAX_BACKPRESSURE_TIME: Micros = 4_000_000;
 /// Backpressure as a multiple of the time that the rejection took.
 const BACKPRESSURE_MULTIPLE: Micros = 20;
 
@@ -38,7 +38,7 @@
         endpoint.consecutive_failures += 1;
         endpoint.failed_at = now;
         let doublings = (endpoint.consecutive_failures - 1).min(MAX_EJECTION_DOUBLINGS);
-        endpoint.ejected_until = now + (BASE_EJECTION << doublings).min(MAX_EJECTION);
+        endpoint.ejected_until = now + (BASE_EJECTION_TIME << doublings).min(MAX_EJECTION_TIME);
         if endpoint.consecutive_failures == FAILURES_FOR_RESTART {
             out.push(Action::Log(format!("host {} fails again and again: single trials only", id.0)));
         }
@@ -66,8 +66,10 @@
     pub(super) fn record_rejection(&mut self, now: Micros, result: &AttemptResult) {
         let Some(request) = self.requests.get(&result.request) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&result.endpoint) else { return };
-        let backpressure =
-            result.elapsed.saturating_mul(BACKPRESSURE_MULTIPLE).clamp(MIN_BACKPRESSURE, MAX_BACKPRESSURE);
+        let backpressure = result
+            .elapsed
+            .saturating_mul(BACKPRESSURE_MULTIPLE)
+            .clamp(MIN_BACKPRESSURE_TIME, MAX_BACKPRESSURE_TIME);
         let key = BackpressureKey { class: request.spec.class, tenant: request.spec.tenant };
         endpoint.backpressure_until.insert(key, now.saturating_add(backpressure));
     }
--- a/src/scheduler/prefill_selection.rs
+++ b/src/scheduler/prefill_selection.rs
@@ -47,7 +47,7 @@
         let max_attempts = self.settings.capabilities.max_attempts;
         let attempts_suffice = request.attempts() + ATTEMPTS_FOR_PREFILL_AND_DECODE <= max_attempts;
         let mut endpoints = self.prefix_affinity_order(request, |endpoint| {
-            attempts_suffice && self.accepts(now, endpoint, request)
+            attempts_suffice && self.is_eligible(now, endpoint, request)
         });
         endpoints.sort_by(|a, b| {
             self.prefill_time(now, a, request).total_cmp(&self.prefill_time(now, b, request))
@@ -98,7 +98,7 @@
     /// that is identical on all replicas. Their number is small because each additional endpoint has to
     /// prefill the prefix and evicts others from its cache.
     pub(super) fn prefix_affinity_order(
-        &self, request: &Request, eligible: impl Fn(&EndpointState) -> bool,
+        &self, request: &Request, predicate: impl Fn(&EndpointState) -> bool,
     ) -> Vec<&EndpointState> {
         let spec = &request.spec;
         let key = spec.prefix.or(spec.session).unwrap_or(CacheKey(spec.id.0));
@@ -110,7 +110,7 @@
         };
         let candidates = self.endpoints.values();
         let mut endpoints: Vec<_> =
-            candidates.filter(|endpoint| endpoint.pool() == Pool::Prefill && eligible(endpoint)).collect();
+            candidates.filter(|endpoint| endpoint.pool() == Pool::Prefill && predicate(endpoint)).collect();
         endpoints.sort_by(|a, b| score(b).total_cmp(&score(a)));
         endpoints.truncate(AFFINITY_ENDPOINTS);
         endpoints
--- a/src/scheduler/registry.rs
+++ b/src/scheduler/registry.rs
@@ -9,11 +9,11 @@
 
 /// Factor on the fraction of a cell's KV caches that its own decode endpoints take; the load need not be
 /// even.
-const LOCAL_CAPACITY_SLACK: f64 = 1.15;
+const LOCAL_CAPACITY_FACTOR: f64 = 1.15;
 /// Minimum weight for KV caches from other cells; a cell without prefill endpoints has weight 1.
 const MIN_REMOTE_CAPACITY_WEIGHT: f64 = 0.05;
 /// Lower bound of a divisor, to avoid division by zero.
-const MIN_SHARE: f64 = 1e-9;
+const MIN_DIVISOR: f64 = 1e-9;
 
 /// Number of ready endpoints in each pool.
 #[derive(Clone, Copy, Default)]
@@ -33,17 +33,17 @@
 
 /// Number of ready endpoints in each pool, of a cell or of the fleet.
 #[derive(Clone, Copy, Default)]
-struct PoolShares {
+struct PoolCapacity {
     prefill: f64,
     decode: f64,
 }
 
-impl PoolShares {
+impl PoolCapacity {
     /// Ratio of this cell's part of the fleet's decode capacity to its part of the prefill capacity, assuming
     /// that all endpoints of a pool are equal.
-    fn decode_to_prefill_ratio(self, fleet: PoolShares) -> f64 {
+    fn decode_to_prefill_ratio(self, fleet: PoolCapacity) -> f64 {
         (self.decode / f64::max(fleet.decode, 1.0))
-            / (self.prefill / f64::max(fleet.prefill, 1.0)).max(MIN_SHARE)
+            / (self.prefill / f64::max(fleet.prefill, 1.0)).max(MIN_DIVISOR)
     }
 }
 
@@ -51,14 +51,14 @@
     /// Applies a snapshot or a delta. Endpoints that drain or are removed are no longer selected.
     pub(super) fn endpoints_changed(&mut self, now: Micros, snapshot: bool, updates: &[EndpointUpdate]) {
         if snapshot {
-            self.remove_unnamed(updates);
+            self.remove_unlisted(updates);
         }
         for update in updates {
             self.apply_update(now, update);
         }
         // Drop removed endpoints that have nothing in flight; new ids appear all day, so the map would
         // otherwise grow.
-        self.endpoints.retain(|_, endpoint| !endpoint.is_forgettable());
+        self.endpoints.retain(|_, endpoint| !endpoint.is_removable());
         self.ready_endpoints = PoolSizes {
             prefill: self.ready_in(Pool::Prefill).count(),
             decode: self.ready_in(Pool::Decode).count(),
@@ -66,10 +66,10 @@
         self.update_cell_capacities();
     }
 
-    fn remove_unnamed(&mut self, updates: &[EndpointUpdate]) {
-        let named: BTreeSet<_> = updates.iter().map(|update| update.endpoint).collect();
+    fn remove_unlisted(&mut self, updates: &[EndpointUpdate]) {
+        let listed: BTreeSet<_> = updates.iter().map(|update| update.endpoint).collect();
         for (id, endpoint) in &mut self.endpoints {
-            if !named.contains(id) {
+            if !listed.contains(id) {
                 endpoint.lifecycle = Lifecycle::Removed;
             }
         }
@@ -82,15 +82,15 @@
         endpoint.lifecycle = update.lifecycle;
         if update.started_at > endpoint.started_at {
             endpoint.started_at = update.started_at;
-            endpoint.forget_cache();
+            endpoint.clear_cached_prefixes();
             self.begin_slow_start(now, update.endpoint);
         }
     }
 
     /// Updates how much of its own and of other cells' KV caches the decode endpoints of each cell can take.
     fn update_cell_capacities(&mut self) {
-        let mut cells: BTreeMap<CellId, PoolShares> = BTreeMap::new();
-        let mut fleet = PoolShares::default();
+        let mut cells: BTreeMap<CellId, PoolCapacity> = BTreeMap::new();
+        let mut fleet = PoolCapacity::default();
         for endpoint in self.endpoints.values().filter(|endpoint| endpoint.is_ready()) {
             let cell = cells.entry(endpoint.cell).or_default();
             match endpoint.pool() {
@@ -107,9 +107,9 @@
         for endpoint in self.endpoints.values_mut() {
             let cell = cells.get(&endpoint.cell).copied().unwrap_or_default();
             let ratio = cell.decode_to_prefill_ratio(fleet);
-            endpoint.local_capacity_ratio = LOCAL_CAPACITY_SLACK * ratio;
+            endpoint.local_capacity_ratio = LOCAL_CAPACITY_FACTOR * ratio;
             endpoint.remote_capacity_weight =
-                (1.0 - 1.0 / ratio.max(MIN_SHARE)).max(MIN_REMOTE_CAPACITY_WEIGHT);
+                (1.0 - 1.0 / ratio.max(MIN_DIVISOR)).max(MIN_REMOTE_CAPACITY_WEIGHT);
         }
     }
 
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -98,7 +98,7 @@
     pub(super) possible_execution: Option<PossibleExecution>,
     pub(super) locally_unreachable: Option<LocallyUnreachable>,
     /// Cell of the last decode endpoint that did not respond.
-    pub(super) silent_cell: Option<CellId>,
+    pub(super) unresponsive_cell: Option<CellId>,
     /// Whether the client disconnected; the request then only waits for its last attempt to end.
     pub(super) disconnected: bool,
 
@@ -143,7 +143,7 @@
             last_progress_at: 0,
             possible_execution: None,
             locally_unreachable: None,
-            silent_cell: None,
+            unresponsive_cell: None,
             disconnected: false,
             affinity_endpoints: Vec::new(),
             decode_endpoint: None,
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -8,7 +8,7 @@
 
 /// Fraction of a warming endpoint's budget that is used. Leaves a margin for sends of several replicas that
 /// happen to coincide.
-const SLOW_START_SHARE: f64 = 0.65;
+const SLOW_START_FRACTION: f64 = 0.65;
 
 /// This replica's unused part of a warming endpoint's capacity.
 #[derive(Clone, Copy, Default)]
@@ -18,7 +18,7 @@
     /// The replica's credit when the budget was last reset.
     credit_at_reset: f64,
     /// Initial budget at the reset; usually a fraction of one send.
-    saved_sends: f64,
+    initial_sends: f64,
 }
 
 /// Sends per ready endpoint of each pool that this replica's arrivals have earned since it started.
@@ -67,21 +67,21 @@
         let budget = endpoint.slow_start;
         let warmup_factor = endpoint.warmup_factor(now - (now - budget.reset_at) / 2, rules);
         let earned = self.slow_start_credit.of(endpoint.pool()) - budget.credit_at_reset;
-        budget.saved_sends + earned * rules.overload_multiple * warmup_factor * SLOW_START_SHARE
+        budget.initial_sends + earned * rules.overload_multiple * warmup_factor * SLOW_START_FRACTION
     }
 
     /// Resets an endpoint's budget after a send or a start of the endpoint.
-    pub(super) fn reset_slow_start_budget(&mut self, now: Micros, id: EndpointId, saved_sends: f64) {
+    pub(super) fn reset_slow_start_budget(&mut self, now: Micros, id: EndpointId, initial_sends: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let credit_at_reset = self.slow_start_credit.of(endpoint.pool());
-        endpoint.slow_start = SlowStartBudget { reset_at: now, credit_at_reset, saved_sends };
+        endpoint.slow_start = SlowStartBudget { reset_at: now, credit_at_reset, initial_sends };
     }
 
     /// Starts the slow start of an endpoint. All replicas learn of a start at the same time, so each gets a
     /// random fraction of a send as its initial budget to spread their first sends. Replicas without arrivals
     /// get it as well.
     pub(super) fn begin_slow_start(&mut self, now: Micros, id: EndpointId) {
-        let saved_sends = unit_hash(id.0, now as u64 ^ self.salt);
-        self.reset_slow_start_budget(now, id, saved_sends);
+        let initial_sends = unit_hash(id.0, now as u64 ^ self.salt);
+        self.reset_slow_start_budget(now, id, initial_sends);
     }
 }
