--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -25,9 +25,11 @@
 
 impl Scheduler {
     /// Queues a new request, or rejects one that the deployment cannot serve.
-    pub(super) fn request_received(&mut self, now: Micros, spec: &RequestSpec, out: &mut Vec<Action>) {
-        if !self.can_serve_any() || self.settings.classes.get(spec.class.0).is_none() {
-            out.push(Action::Reject { request: spec.id, retry_after: None });
+    pub(super) fn handle_request_received(
+        &mut self, now: Micros, spec: &RequestSpec, actions: &mut Vec<Action>,
+    ) {
+        if !self.can_serve_requests() || self.settings.classes.get(spec.class.0).is_none() {
+            actions.push(Action::Reject { request: spec.id, retry_after: None });
             return;
         }
         if !spec.is_retry {
@@ -38,12 +40,12 @@
         self.record_request_footprint(request.footprint_tokens);
         self.requests.insert(spec.id, request);
         self.enqueue(spec.id);
-        self.query_prefill_queues(now, spec.id, out);
+        self.query_prefill_queues(now, spec.id, actions);
     }
 
     /// Whether the deployment allows enough attempts for a separate prefill and decode, or has a kind of
     /// endpoint that does both in one attempt.
-    fn can_serve_any(&self) -> bool {
+    fn can_serve_requests(&self) -> bool {
         let capabilities = &self.settings.capabilities;
         let mut roles = self.settings.kinds.iter().map(|kind| kind.role);
         capabilities.max_attempts >= ATTEMPTS_FOR_PREFILL_AND_DECODE
@@ -62,14 +64,14 @@
 
     /// Admits requests of the objective tier until none in the admission window passes the check. If the tier
     /// is then empty, admits one best-effort request.
-    pub(super) fn admit_queued(&mut self, now: Micros, out: &mut Vec<Action>) {
+    pub(super) fn admit_queued(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(admission) = self.next_within_objective(now) {
             self.queue.remove(Tier::Objective, &admission.entry);
-            self.start(now, admission.entry.request, admission.pair, out);
+            self.dispatch(now, admission.entry.request, admission.pair, actions);
         }
         if let Some(admission) = self.next_best_effort(now) {
             self.queue.remove(Tier::BestEffort, &admission.entry);
-            self.start(now, admission.entry.request, admission.pair, out);
+            self.dispatch(now, admission.entry.request, admission.pair, actions);
         }
     }
 
@@ -78,7 +80,7 @@
     fn next_within_objective(&self, now: Micros) -> Option<Admission> {
         let mut window: Vec<_> =
             self.queue.tier(Tier::Objective).iter().take(ADMISSION_WINDOW).copied().collect();
-        let draw = |entry: &QueueEntry| unit_hash(now as u32, entry.request.0 ^ self.salt);
+        let draw = |entry: &QueueEntry| unit_hash(now as u32, entry.request.0 ^ self.seed);
         window.sort_by(|a, b| draw(a).total_cmp(&draw(b)));
         window.retain(|entry| now >= self.requests[&entry.request].load_reports_awaited_until);
         window.into_iter().find_map(|entry| {
@@ -105,7 +107,7 @@
 
     /// Sends an admitted request to its prefill endpoint, or to a decode endpoint that also prefills it. The
     /// decode endpoint counts the request as a stream from now on.
-    fn start(&mut self, now: Micros, id: RequestId, pair: EndpointPair, out: &mut Vec<Action>) {
+    fn dispatch(&mut self, now: Micros, id: RequestId, pair: EndpointPair, actions: &mut Vec<Action>) {
         self.assign_decode_endpoint(id, pair.decode);
         let prefilled_at = pair.prefill.unwrap_or(pair.decode);
         let uncached_tokens = self.uncached_tokens(&self.endpoints[&prefilled_at], &self.requests[&id]);
@@ -117,19 +119,21 @@
             };
         }
         match pair.prefill {
-            Some(prefill) => self.send_to_prefill(now, id, prefill, out),
-            None => self.send_to_decode(now, id, pair.decode, out),
+            Some(prefill) => self.send_to_prefill(now, id, prefill, actions),
+            None => self.send_to_decode(now, id, pair.decode, actions),
         }
     }
 
-    fn send_to_prefill(&mut self, now: Micros, id: RequestId, prefill: EndpointId, out: &mut Vec<Action>) {
+    fn send_to_prefill(
+        &mut self, now: Micros, id: RequestId, prefill: EndpointId, actions: &mut Vec<Action>,
+    ) {
         let expected = self.expected_prefill_time(now, id, prefill);
         let own_load = self.own_prefill_tokens(&self.endpoints[&prefill]);
         if let Some(request) = self.requests.get_mut(&id) {
             request.prefill_load_tokens = own_load + request.uncached_tokens + PREFILL_OVERHEAD_TOKENS;
             request.state = RequestState::Prefilling { prefill_endpoint: prefill };
         }
-        self.send(now, id, prefill, expected, out);
+        self.send(now, id, prefill, expected, actions);
     }
 
     /// Expected microseconds for the prefill if none of the prompt is cached. A cache miss alone must not
--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -14,7 +14,7 @@
 /// Attempt timeout as a multiple of the expected time to the first response.
 const TIMEOUT_MULTIPLE: f64 = 4.0;
 /// Maximum fraction of the remaining time that one attempt may use, so that a retry still fits.
-const MAX_ATTEMPT_SHARE: f64 = 0.6;
+const MAX_ATTEMPT_FRACTION: f64 = 0.6;
 /// That maximum applies only if it exceeds this multiple of the expected time. When all endpoints are slow, a
 /// single attempt gets the whole remaining time.
 const MIN_TIMEOUT_MULTIPLE: f64 = 1.5;
@@ -39,13 +39,13 @@
 impl Scheduler {
     /// Sends a request to a decode endpoint, with its reserved KV cache or to be prefilled there as well.
     pub(super) fn send_to_decode(
-        &mut self, now: Micros, id: RequestId, decode: EndpointId, out: &mut Vec<Action>,
+        &mut self, now: Micros, id: RequestId, decode: EndpointId, actions: &mut Vec<Action>,
     ) {
         let expected = self.expected_first_token_time(now, &self.requests[&id], &self.endpoints[&decode]);
         if let Some(request) = self.requests.get_mut(&id) {
             request.state = RequestState::Decoding(request.reservation());
         }
-        self.send(now, id, decode, expected, out);
+        self.send(now, id, decode, expected, actions);
     }
 
     /// Expected microseconds until the first token at a decode endpoint, including the prefill if it has to
@@ -60,11 +60,11 @@
 
     /// Sends a request whose first response is expected after `expected` microseconds.
     pub(super) fn send(
-        &mut self, now: Micros, id: RequestId, to: EndpointId, expected: f64, out: &mut Vec<Action>,
+        &mut self, now: Micros, id: RequestId, to: EndpointId, expected: f64, actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&to) else { return };
-        request.ordered_attempts += 1;
+        request.requested_attempts += 1;
         request.last_progress_at = now;
         let time_left = (request.deadline - now).max(1) as f64;
         let timeout = if request.spec.unary && endpoint.pool() == Pool::Decode {
@@ -75,13 +75,13 @@
             endpoint.pending_attempts.insert(id, now);
             attempt_timeout(expected, time_left)
         };
-        let start_within = request.start_limit(&self.settings).map(|until| until - now);
+        let start_within = request.start_deadline(&self.settings).map(|until| until - now);
         self.reset_slow_start_budget(now, to, 0.0);
-        out.push(Action::Send { request: id, endpoint: to, timeout: timeout.max(1), start_within });
+        actions.push(Action::Send { request: id, endpoint: to, timeout: timeout.max(1), start_within });
     }
 
     /// Handles the first token of an answer.
-    pub(super) fn first_token(&mut self, now: Micros, id: RequestId, at: EndpointId, elapsed: Micros) {
+    pub(super) fn handle_first_token(&mut self, now: Micros, id: RequestId, at: EndpointId, elapsed: Micros) {
         self.record_success(now, at);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&at) else { return };
@@ -97,19 +97,21 @@
     }
 
     /// Updates the estimates from a finished attempt and advances its request to the next state.
-    pub(super) fn attempt_finished(&mut self, now: Micros, result: &AttemptResult, out: &mut Vec<Action>) {
+    pub(super) fn handle_attempt_finished(
+        &mut self, now: Micros, result: &AttemptResult, actions: &mut Vec<Action>,
+    ) {
         let sent_at = self.take_pending_attempt(now, result);
         if result.outcome == Outcome::TimedOut {
             self.record_timeout(now, result);
         }
-        self.record_outcome(now, result, sent_at, out);
+        self.record_outcome(now, result, sent_at, actions);
         let id = result.request;
         let Some(request) = self.requests.get_mut(&id) else {
-            out.push(Action::ReleaseReservation(id));
+            actions.push(Action::ReleaseReservation(id));
             return;
         };
-        if result.is_final || request.disconnected {
-            out.push(Action::ReleaseReservation(id));
+        if result.is_final || request.client_disconnected {
+            actions.push(Action::ReleaseReservation(id));
             self.remove_request(id);
             return;
         }
@@ -118,10 +120,10 @@
             let until = now + LOCALLY_UNREACHABLE_DURATION;
             request.locally_unreachable = Some(LocallyUnreachable { endpoint: result.endpoint, until });
         }
-        self.move_on(now, result, sent_at, out);
+        self.advance_request(now, result, sent_at, actions);
         let deadline_passed = self.requests.get(&id).is_some_and(|open| now >= open.deadline);
-        if deadline_passed || !self.may_run_anywhere(now, id) {
-            self.finish_unserved(id, out);
+        if deadline_passed || !self.may_execute_anywhere(now, id) {
+            self.finish_unserved(id, actions);
         }
     }
 
@@ -152,7 +154,7 @@
 
     /// Updates the endpoint's health and the estimates according to the outcome.
     fn record_outcome(
-        &mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>,
+        &mut self, now: Micros, result: &AttemptResult, sent_at: Micros, actions: &mut Vec<Action>,
     ) {
         match result.outcome {
             Outcome::Completed => {
@@ -161,9 +163,9 @@
             }
             Outcome::Prefilled => self.record_prefill(now, result),
             Outcome::Rejected => self.record_rejection(now, result),
-            Outcome::Malformed => self.record_malformed_response(now, result.endpoint, sent_at, out),
+            Outcome::Malformed => self.record_malformed_response(now, result.endpoint, sent_at, actions),
             Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionLost => {
-                self.record_failure(now, result.endpoint, sent_at, out);
+                self.record_failure(now, result.endpoint, sent_at, actions);
             }
             Outcome::StateMissing | Outcome::Cancelled | Outcome::Abandoned | Outcome::NotSent => {}
         }
@@ -182,7 +184,9 @@
     }
 
     /// Advances the request to its next state.
-    fn move_on(&mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>) {
+    fn advance_request(
+        &mut self, now: Micros, result: &AttemptResult, sent_at: Micros, actions: &mut Vec<Action>,
+    ) {
         let id = result.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
         match (request.state, result.outcome) {
@@ -191,15 +195,15 @@
             }
             (RequestState::Prefilling { .. }, _) => self.enqueue(id),
             // A decode endpoint that did not respond in time may nevertheless have fetched the KV cache.
-            (_, Outcome::StateMissing) => self.release_and_enqueue(id, out),
-            (_, Outcome::Abandoned) => self.finish_unserved(id, out),
-            _ => self.decode_attempt_failed(now, result, sent_at, out),
+            (_, Outcome::StateMissing) => self.release_and_enqueue(id, actions),
+            (_, Outcome::Abandoned) => self.finish_unserved(id, actions),
+            _ => self.handle_decode_failure(now, result, sent_at, actions),
         }
     }
 
     /// Handles a failed decode attempt. The KV cache is kept for the next attempt if it is still usable.
-    fn decode_attempt_failed(
-        &mut self, now: Micros, result: &AttemptResult, sent_at: Micros, out: &mut Vec<Action>,
+    fn handle_decode_failure(
+        &mut self, now: Micros, result: &AttemptResult, sent_at: Micros, actions: &mut Vec<Action>,
     ) {
         let id = result.request;
         if result.outcome == Outcome::TimedOut {
@@ -219,12 +223,12 @@
                 }
                 request.state = RequestState::Prefilled(reservation);
             }
-            _ => self.release_and_enqueue(id, out),
+            _ => self.release_and_enqueue(id, actions),
         }
     }
 
-    fn release_and_enqueue(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        out.push(Action::ReleaseReservation(id));
+    fn release_and_enqueue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        actions.push(Action::ReleaseReservation(id));
         self.enqueue(id);
     }
 
@@ -268,7 +272,7 @@
 /// The attempt's timeout in microseconds; short enough that another attempt fits after an unresponsive
 /// endpoint.
 fn attempt_timeout(expected: f64, time_left: f64) -> Micros {
-    let share = time_left * MAX_ATTEMPT_SHARE;
+    let share = time_left * MAX_ATTEMPT_FRACTION;
     let max_timeout = if share > expected * MIN_TIMEOUT_MULTIPLE { share } else { time_left };
     (expected * TIMEOUT_MULTIPLE + UNRESPONSIVE_ALLOWANCE_US).min(max_timeout) as Micros
 }
--- a/src/scheduler/decode_selection.rs
+++ b/src/scheduler/decode_selection.rs
@@ -63,7 +63,7 @@
         if headroom > 0.0 {
             let locality = criteria.prefill.map_or(1.0, |prefill| locality_weight(prefill, endpoint));
             let weight = headroom.powf(HEADROOM_EXPONENT) * locality;
-            Some(rendezvous_score(endpoint.id.0, self.salt ^ request.id().0, weight))
+            Some(rendezvous_score(endpoint.id.0, self.seed ^ request.id().0, weight))
         } else {
             Some(headroom)
         }
@@ -71,31 +71,31 @@
 
     /// Sends prefilled requests to decode endpoints and releases KV caches that no decode endpoint can take
     /// in time.
-    pub(super) fn send_prefilled(&mut self, now: Micros, out: &mut Vec<Action>) {
+    pub(super) fn send_prefilled(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let is_prefilled = |request: &&Request| matches!(request.state, RequestState::Prefilled(_));
         let prefilled: Vec<_> = self.requests.values().filter(is_prefilled).map(Request::id).collect();
         let first_token_time =
             self.shortest_time(Pool::Decode, |endpoint| self.first_token_time(now, endpoint));
         let earliest_first_token = now.saturating_add(first_token_time as Micros);
         for id in prefilled {
-            self.send_or_release(now, id, earliest_first_token, out);
+            self.send_or_release(now, id, earliest_first_token, actions);
         }
     }
 
     fn send_or_release(
-        &mut self, now: Micros, id: RequestId, earliest_first_token: Micros, out: &mut Vec<Action>,
+        &mut self, now: Micros, id: RequestId, earliest_first_token: Micros, actions: &mut Vec<Action>,
     ) {
         let request = &self.requests[&id];
         let RequestState::Prefilled(reservation) = request.state else { return };
         if self.must_release(now, request, reservation) {
-            out.push(Action::ReleaseReservation(id));
+            actions.push(Action::ReleaseReservation(id));
             self.enqueue(id);
             return;
         }
         let decode = self.decode_for_reservation(now, request, reservation, earliest_first_token);
         if let Some(decode) = decode {
             self.assign_decode_endpoint(id, decode);
-            self.send_to_decode(now, id, decode, out);
+            self.send_to_decode(now, id, decode, actions);
         }
     }
 
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -12,7 +12,7 @@
             .locally_unreachable
             .is_none_or(|unreachable| unreachable.endpoint != endpoint.id || now >= unreachable.until);
         endpoint.is_ready()
-            && self.may_run_at(now, request, endpoint.id)
+            && self.may_execute_at(now, request, endpoint.id)
             && now >= endpoint.ejected_until.max(endpoint.transfer_stalled_until)
             && reachable
             && !has_trial_in_flight(endpoint)
--- a/src/scheduler/load_report.rs
+++ b/src/scheduler/load_report.rs
@@ -55,7 +55,7 @@
 
     /// Checks the decode endpoints that are due. Intervals are random to spread the checks of one replica and
     /// of all replicas over time. The first interval of an endpoint starts without a check.
-    pub(super) fn send_health_checks(&mut self, now: Micros, out: &mut Vec<Action>) {
+    pub(super) fn send_health_checks(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let enabled = self.settings.capabilities.health_checks;
         if !enabled || self.requests.is_empty() || self.receives_enough_reports(now, Pool::Decode) {
             return;
@@ -67,16 +67,16 @@
         for endpoint in self.endpoints.values_mut().filter(due) {
             let is_first = endpoint.health_check_at == 0;
             if !is_first {
-                out.push(Action::HealthCheck(endpoint.id));
+                actions.push(Action::HealthCheck(endpoint.id));
             }
-            let draw = unit_hash(endpoint.id.0, now as u64 ^ self.salt) + if is_first { 0.0 } else { 0.5 };
+            let draw = unit_hash(endpoint.id.0, now as u64 ^ self.seed) + if is_first { 0.0 } else { 0.5 };
             endpoint.health_check_at = now.saturating_add((mean_interval * draw) as Micros);
         }
     }
 
     /// Queries the queue lengths of a new request's prefill endpoints and lets the request wait for the
     /// answers.
-    pub(super) fn query_prefill_queues(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn query_prefill_queues(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let enabled = self.settings.capabilities.health_checks;
         if !enabled || self.receives_enough_reports(now, Pool::Prefill) {
             return;
@@ -87,7 +87,7 @@
             if let Some(endpoint) = self.endpoints.get_mut(endpoint_id) {
                 endpoint.health_check_at = now;
             }
-            out.push(Action::HealthCheck(*endpoint_id));
+            actions.push(Action::HealthCheck(*endpoint_id));
         }
     }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -65,7 +65,7 @@
 pub struct Scheduler {
     settings: Settings,
     /// Seed of the replica's random draws, so that replicas with the same state draw differently.
-    salt: u64,
+    seed: u64,
     endpoints: BTreeMap<EndpointId, EndpointState>,
     ready_endpoints: PoolSizes,
     requests: BTreeMap<RequestId, Request>,
@@ -90,34 +90,34 @@
         Scheduler {
             speed_curves: vec![SpeedCurve::default(); settings.kinds.len()],
             quotas: vec![TokenBucket::full(); settings.tenants.len()],
-            salt: seed,
+            seed,
             settings,
             ..Scheduler::default()
         }
     }
 
     /// Processes the events that occurred up to `now` and appends the resulting actions in order.
-    pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.arrivals.start_counting(now);
         self.accrue_slow_start_credit(now);
         for event in events {
-            self.handle_event(now, event, out);
+            self.handle_event(now, event, actions);
         }
-        self.watch_endpoints(now, out);
-        self.send_prefilled(now, out);
-        self.update_tiers(now, out);
-        self.admit_queued(now, out);
-        self.send_health_checks(now, out);
-        self.set_timer(now, out);
+        self.watch_endpoints(now, actions);
+        self.send_prefilled(now, actions);
+        self.update_tiers(now, actions);
+        self.admit_queued(now, actions);
+        self.send_health_checks(now, actions);
+        self.set_timer(now, actions);
     }
 
-    fn handle_event(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointsChanged { snapshot, updates } => self.endpoints_changed(now, *snapshot, updates),
+            Event::EndpointsChanged { snapshot, updates } => self.update_endpoints(now, *snapshot, updates),
             Event::WatchFailed => self.watch_open = false,
-            Event::RequestReceived(spec) => self.request_received(now, spec, out),
+            Event::RequestReceived(spec) => self.handle_request_received(now, spec, actions),
             Event::FirstToken { request, endpoint, elapsed, .. } => {
-                self.first_token(now, *request, *endpoint, *elapsed);
+                self.handle_first_token(now, *request, *endpoint, *elapsed);
             }
             Event::AttemptFinished {
                 request,
@@ -138,9 +138,9 @@
                     cached_tokens: *cached_tokens,
                     elapsed: *elapsed,
                 };
-                self.attempt_finished(now, &result, out);
+                self.handle_attempt_finished(now, &result, actions);
             }
-            Event::ClientDisconnected(request) => self.client_disconnected(*request, out),
+            Event::ClientDisconnected(request) => self.handle_client_disconnected(*request, actions),
             Event::HealthChecked { endpoint, load_report, .. } => {
                 self.record_load_report(now, *endpoint, load_report.as_ref());
             }
@@ -150,25 +150,25 @@
     }
 
     /// Requests a watch on the endpoint list if there is none, for example after it failed.
-    fn watch_endpoints(&mut self, now: Micros, out: &mut Vec<Action>) {
+    fn watch_endpoints(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let since_last_request = self.watch_requested_at.map_or(Micros::MAX, |at| now - at);
         let wanted = self.settings.watch_endpoint_list && !self.watch_open;
         if wanted && since_last_request >= WATCH_RETRY_DELAY {
-            out.push(Action::WatchEndpoints);
+            actions.push(Action::WatchEndpoints);
             self.watch_open = true;
             self.watch_requested_at = Some(now);
         }
     }
 
     /// Keeps one timer pending while a request is waiting or the endpoint list has to be watched again.
-    fn set_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
+    fn set_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let request_waits = self.requests.values().any(Request::is_waiting);
         let watch_needed = self.settings.watch_endpoint_list && !self.watch_open;
         let after = if request_waits { QUEUE_CHECK_INTERVAL } else { WATCH_RETRY_DELAY };
         let due_later = self.timer_due_at.is_none_or(|at| at > now + after);
         if (request_waits || watch_needed) && due_later {
             self.timer_due_at = Some(now + after);
-            out.push(Action::SetTimer { token: 0, after });
+            actions.push(Action::SetTimer { token: 0, after });
         }
     }
 }
--- a/src/scheduler/outlier.rs
+++ b/src/scheduler/outlier.rs
@@ -29,7 +29,7 @@
     /// Ejects an endpoint after a failure, with exponential backoff. Attempts sent before the last failure
     /// are ignored, because one failure usually ends many attempts at once.
     pub(super) fn record_failure(
-        &mut self, now: Micros, id: EndpointId, sent_at: Micros, out: &mut Vec<Action>,
+        &mut self, now: Micros, id: EndpointId, sent_at: Micros, actions: &mut Vec<Action>,
     ) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         if endpoint.consecutive_failures > 0 && sent_at < endpoint.failed_at {
@@ -40,7 +40,7 @@
         let doublings = (endpoint.consecutive_failures - 1).min(MAX_EJECTION_DOUBLINGS);
         endpoint.ejected_until = now + (BASE_EJECTION_TIME << doublings).min(MAX_EJECTION_TIME);
         if endpoint.consecutive_failures == FAILURES_FOR_RESTART {
-            out.push(Action::Log(format!("host {} fails again and again: single trials only", id.0)));
+            actions.push(Action::Log(format!("host {} fails again and again: single trials only", id.0)));
         }
     }
 
@@ -76,13 +76,13 @@
 
     /// Counts a malformed response. It is treated as a failure only after several in a row.
     pub(super) fn record_malformed_response(
-        &mut self, now: Micros, id: EndpointId, sent_at: Micros, out: &mut Vec<Action>,
+        &mut self, now: Micros, id: EndpointId, sent_at: Micros, actions: &mut Vec<Action>,
     ) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         if endpoint.malformed_responses < MAX_MALFORMED_RESPONSES {
             endpoint.malformed_responses += 1;
         } else {
-            self.record_failure(now, id, sent_at, out);
+            self.record_failure(now, id, sent_at, actions);
         }
     }
 }
--- a/src/scheduler/prefill_selection.rs
+++ b/src/scheduler/prefill_selection.rs
@@ -36,14 +36,14 @@
     /// applies to the objective tier only.
     pub(super) fn select_pair(&self, now: Micros, id: RequestId, tier: Tier) -> Option<EndpointPair> {
         let request = self.requests.get(&id)?;
-        self.quickest_affinity_endpoints(now, request)
+        self.fastest_affinity_endpoints(now, request)
             .into_iter()
             .find_map(|prefill| self.pair_with(now, request, prefill, tier))
             .or_else(|| self.select_local_prefill(now, request, tier))
     }
 
     /// Eligible affinity prefill endpoints, sorted by estimated prefill time.
-    fn quickest_affinity_endpoints(&self, now: Micros, request: &Request) -> Vec<&EndpointState> {
+    fn fastest_affinity_endpoints(&self, now: Micros, request: &Request) -> Vec<&EndpointState> {
         let max_attempts = self.settings.capabilities.max_attempts;
         let attempts_suffice = request.attempts() + ATTEMPTS_FOR_PREFILL_AND_DECODE <= max_attempts;
         let mut endpoints = self.prefix_affinity_order(request, |endpoint| {
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -11,7 +11,7 @@
 
 /// Number of requests per tier whose prefill time is estimated in each round. Bounds the work and is far
 /// above the usual queue length; requests beyond it are only checked against the current time.
-const MAX_ESTIMATES: usize = 128;
+const MAX_PREFILL_ESTIMATES: usize = 128;
 
 /// The queue tier of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
 
     /// Moves requests that cannot meet their objective to the best-effort tier, and gives a final answer to
     /// those that cannot meet their deadline either.
-    pub(super) fn update_tiers(&mut self, now: Micros, out: &mut Vec<Action>) {
+    pub(super) fn update_tiers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let first_token_time =
             self.shortest_time(Pool::Decode, |endpoint| self.first_token_time(now, endpoint));
         for entry in self.overdue(now, Tier::Objective, first_token_time) {
@@ -100,14 +100,14 @@
             }
         }
         for entry in self.overdue(now, Tier::BestEffort, first_token_time) {
-            self.finish_unserved(entry.request, out);
+            self.finish_unserved(entry.request, actions);
         }
     }
 
     /// Requests of a tier that cannot be served within the tier's time limit, or not at all.
     fn overdue(&self, now: Micros, tier: Tier, first_token_time: f64) -> Vec<QueueEntry> {
         let is_overdue = |rank: usize, request: &Request| {
-            let time_needed = if rank < MAX_ESTIMATES {
+            let time_needed = if rank < MAX_PREFILL_ESTIMATES {
                 let prefill_time =
                     self.shortest_time(Pool::Prefill, |endpoint| self.prefill_time(now, endpoint, request));
                 (prefill_time + first_token_time) as Micros
@@ -118,7 +118,7 @@
                 Tier::Objective => request.objective_at,
                 Tier::BestEffort => request.deadline - FINAL_ANSWER_MARGIN,
             };
-            now.saturating_add(time_needed) > limit || !self.may_run_anywhere(now, request.id())
+            now.saturating_add(time_needed) > limit || !self.may_execute_anywhere(now, request.id())
         };
         let entries = self.queue.tier(tier).iter().enumerate();
         let overdue = entries.filter(|(rank, entry)| is_overdue(*rank, &self.requests[&entry.request]));
--- a/src/scheduler/registry.rs
+++ b/src/scheduler/registry.rs
@@ -49,7 +49,7 @@
 
 impl Scheduler {
     /// Applies a snapshot or a delta. Endpoints that drain or are removed are no longer selected.
-    pub(super) fn endpoints_changed(&mut self, now: Micros, snapshot: bool, updates: &[EndpointUpdate]) {
+    pub(super) fn update_endpoints(&mut self, now: Micros, snapshot: bool, updates: &[EndpointUpdate]) {
         if snapshot {
             self.remove_unlisted(updates);
         }
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -90,7 +90,7 @@
     pub(super) over_quota: bool,
 
     /// Attempts that the scheduler requested, and how many of them were never sent.
-    pub(super) ordered_attempts: u32,
+    pub(super) requested_attempts: u32,
     pub(super) unsent_attempts: u32,
     /// When the last attempt was sent or, while streaming, when the first token arrived.
     pub(super) last_progress_at: Micros,
@@ -100,7 +100,7 @@
     /// Cell of the last decode endpoint that did not respond.
     pub(super) unresponsive_cell: Option<CellId>,
     /// Whether the client disconnected; the request then only waits for its last attempt to end.
-    pub(super) disconnected: bool,
+    pub(super) client_disconnected: bool,
 
     /// Affinity prefill endpoints, best first.
     pub(super) affinity_endpoints: Vec<EndpointId>,
@@ -138,13 +138,13 @@
             footprint_tokens: spec.prompt_tokens + expected_output_tokens,
             inter_token_objective,
             over_quota,
-            ordered_attempts: 0,
+            requested_attempts: 0,
             unsent_attempts: 0,
             last_progress_at: 0,
             possible_execution: None,
             locally_unreachable: None,
             unresponsive_cell: None,
-            disconnected: false,
+            client_disconnected: false,
             affinity_endpoints: Vec::new(),
             decode_endpoint: None,
             admitted_from: Tier::Objective,
@@ -223,6 +223,6 @@
 
     /// Number of attempts that may have reached an endpoint.
     pub(super) fn attempts(&self) -> u32 {
-        self.ordered_attempts - self.unsent_attempts
+        self.requested_attempts - self.unsent_attempts
     }
 }
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -17,24 +17,24 @@
 /// endpoint.
 const DEDUPLICATION_MARGIN: Micros = 100_000;
 /// Fraction of the reservation limit within which an attempt with a reserved KV cache must start.
-const RESERVED_START_SHARE: f64 = 0.9;
+const RESERVED_START_FRACTION: f64 = 0.9;
 
 impl Request {
     /// Latest start of the next attempt; `None` if unlimited. Needed because a connection may take long to
     /// open while the KV cache stays reserved.
-    pub(super) fn start_limit(&self, settings: &Settings) -> Option<Micros> {
-        let by_deduplication = self.deduplicated_until(settings);
-        let by_reservation = self.reservation_start_limit(settings);
-        match (by_deduplication, by_reservation) {
+    pub(super) fn start_deadline(&self, settings: &Settings) -> Option<Micros> {
+        let deduplication_deadline = self.deduplicated_until(settings);
+        let reservation_deadline = self.reservation_start_deadline(settings);
+        match (deduplication_deadline, reservation_deadline) {
             (Some(deduplication), Some(reservation)) => Some(deduplication.min(reservation)),
             (limit, None) | (None, limit) => limit,
         }
     }
 
     /// Latest start of an attempt that uses the reserved KV cache.
-    fn reservation_start_limit(&self, settings: &Settings) -> Option<Micros> {
+    fn reservation_start_deadline(&self, settings: &Settings) -> Option<Micros> {
         let RequestState::Decoding(Some(reservation)) = self.state else { return None };
-        let usable_for = (settings.rules.reservation_limit as f64 * RESERVED_START_SHARE) as Micros;
+        let usable_for = (settings.rules.reservation_limit as f64 * RESERVED_START_FRACTION) as Micros;
         Some(reservation.reserved_since.saturating_add(usable_for))
     }
 
@@ -51,7 +51,7 @@
 impl Scheduler {
     /// Whether an attempt at this endpoint is safe with respect to a second execution. Applies to prefill
     /// attempts as well.
-    pub(super) fn may_run_at(&self, now: Micros, request: &Request, at: EndpointId) -> bool {
+    pub(super) fn may_execute_at(&self, now: Micros, request: &Request, at: EndpointId) -> bool {
         let Some(first) = request.possible_execution else { return true };
         let scope = match self.settings.classes[request.spec.class.0].idempotency {
             Idempotency::Idempotent => return true,
@@ -72,7 +72,7 @@
     }
 
     /// Whether the request has enough attempts left and some endpoint may execute it.
-    pub(super) fn may_run_anywhere(&self, now: Micros, id: RequestId) -> bool {
+    pub(super) fn may_execute_anywhere(&self, now: Micros, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return true };
         let needed = if request.prefill_endpoint().is_some() {
             ATTEMPTS_FOR_DECODE
@@ -83,21 +83,21 @@
             return false;
         }
         request.possible_execution.is_none()
-            || self.ready_in(Pool::Decode).any(|endpoint| self.may_run_at(now, request, endpoint.id))
+            || self.ready_in(Pool::Decode).any(|endpoint| self.may_execute_at(now, request, endpoint.id))
     }
 
     /// Gives the final answer to a request that cannot be served and releases its reservations. The request
     /// is rejected, so that the client may retry, unless a second execution could do harm.
-    pub(super) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn finish_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        if request.ordered_attempts > 0 {
-            out.push(Action::ReleaseReservation(id));
+        if request.requested_attempts > 0 {
+            actions.push(Action::ReleaseReservation(id));
         }
         let client_may_retry = match self.settings.classes[request.spec.class.0].idempotency {
             Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
             Idempotency::Keyed { .. } | Idempotency::NonIdempotent => request.possible_execution.is_none(),
         };
-        out.push(if client_may_retry {
+        actions.push(if client_may_retry {
             Action::Reject { request: id, retry_after: self.settings.capabilities.max_retry_after }
         } else {
             Action::Fail(id)
@@ -106,17 +106,17 @@
     }
 
     /// Removes a request whose client disconnected: immediately, or when the attempt in flight ends.
-    pub(super) fn client_disconnected(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn handle_client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.is_waiting() {
-            out.push(Action::ReleaseReservation(id));
+            actions.push(Action::ReleaseReservation(id));
             self.remove_request(id);
             return;
         }
-        request.disconnected = true;
+        request.client_disconnected = true;
         if self.settings.capabilities.cancellation && !request.is_streaming() {
-            let attempt = AttemptId(request.ordered_attempts.max(1) - 1);
-            out.push(Action::Cancel { request: id, attempt });
+            let attempt = AttemptId(request.requested_attempts.max(1) - 1);
+            actions.push(Action::Cancel { request: id, attempt });
         }
     }
 
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -81,7 +81,7 @@
     /// random fraction of a send as its initial budget to spread their first sends. Replicas without arrivals
     /// get it as well.
     pub(super) fn begin_slow_start(&mut self, now: Micros, id: EndpointId) {
-        let initial_sends = unit_hash(id.0, now as u64 ^ self.salt);
+        let initial_sends = unit_hash(id.0, now as u64 ^ self.seed);
         self.reset_slow_start_budget(now, id, initial_sends);
     }
 }
