--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -28,7 +28,7 @@
 #[derive(Clone)]
 pub struct SchedulerHandle {
     inputs: UnboundedSender<SchedulerInput>,
-    last_request: Rc<Cell<u64>>,
+    last_request_id: Rc<Cell<u64>>,
 }
 
 impl SchedulerHandle {
@@ -44,13 +44,13 @@
             fleet,
         };
         spawn_local(task.run(queue));
-        (SchedulerHandle { inputs, last_request: Rc::default() }, fleet_commands)
+        (SchedulerHandle { inputs, last_request_id: Rc::default() }, fleet_commands)
     }
 
     /// Submits a new request and assigns its id.
     pub fn submit(&self, mut spec: RequestSpec) -> RequestHandle {
-        let id = RequestId(self.last_request.get() + 1);
-        self.last_request.set(id.0);
+        let id = RequestId(self.last_request_id.get() + 1);
+        self.last_request_id.set(id.0);
         spec.id = id;
         let (sender, commands) = mpsc::unbounded_channel();
         self.send(SchedulerInput::Submit { spec, commands: sender });
--- a/src/scheduler_handle/task.rs
+++ b/src/scheduler_handle/task.rs
@@ -63,18 +63,18 @@
         let mut actions = Vec::new();
         while queue.recv_many(&mut inputs, MAX_INPUTS_PER_ROUND).await > 0 {
             for input in inputs.drain(..) {
-                self.accept(input, &mut round);
+                self.add_input(input, &mut round);
             }
             self.scheduler.handle(self.clock.now(), &round.events, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute(action);
             }
             self.finish_round(&mut round);
         }
     }
 
     /// Adds an input to the round. A new request can receive commands from this point on.
-    fn accept(&mut self, input: SchedulerInput, round: &mut Round) {
+    fn add_input(&mut self, input: SchedulerInput, round: &mut Round) {
         match input {
             SchedulerInput::Submit { spec, commands } => {
                 self.requests.insert(spec.id, commands);
@@ -102,7 +102,7 @@
     }
 
     /// Forwards an action to the component that executes it.
-    fn carry_out(&self, action: Action) {
+    fn execute(&self, action: Action) {
         match action {
             Action::Send { request, endpoint, timeout, start_within } => {
                 let send = SendCommand { endpoint, timeout, start_within };
