--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -204,7 +204,7 @@
                 | RequestCommand::Send(_)
                 | RequestCommand::ReleaseReservation
                 | RequestCommand::Migrate
-                | RequestCommand::Forgotten,
+                | RequestCommand::Closed,
             ) => {}
             TaskEvent::ClientDisconnected => self.client_disconnected(),
             TaskEvent::Overdue => self.fail_overdue(),
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -128,7 +128,7 @@
                     return None;
                 }
                 TaskEvent::Command(RequestCommand::ReleaseReservation) => self.reservation.release(),
-                TaskEvent::Command(RequestCommand::Forgotten) => return None,
+                TaskEvent::Command(RequestCommand::Closed) => return None,
                 TaskEvent::Command(RequestCommand::Cancel(_) | RequestCommand::Migrate) => {}
                 TaskEvent::ClientDisconnected => self.client_disconnected(),
                 TaskEvent::Overdue => self.fail_overdue(),
--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -139,7 +139,7 @@
             | RequestCommand::Cancel(_)
             | RequestCommand::Reject(_)
             | RequestCommand::ReleaseReservation
-            | RequestCommand::Forgotten => {}
+            | RequestCommand::Closed => {}
         }
     }
 }
--- a/src/scheduler_handle/command.rs
+++ b/src/scheduler_handle/command.rs
@@ -30,7 +30,7 @@
     /// this.
     Migrate,
     /// The scheduler has processed the client's disconnect and sends no further commands.
-    Forgotten,
+    Closed,
 }
 
 /// A command that concerns the endpoints rather than a single request.
--- a/src/scheduler_handle/task.rs
+++ b/src/scheduler_handle/task.rs
@@ -94,7 +94,7 @@
     fn finish_round(&mut self, round: &mut Round) {
         round.events.clear();
         for id in round.disconnected.drain(..) {
-            self.send_command(id, RequestCommand::Forgotten);
+            self.send_command(id, RequestCommand::Closed);
         }
         for id in round.ended.drain(..) {
             self.requests.remove(&id);
