--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -50,7 +50,7 @@
             elapsed_us = elapsed,
             "stream started"
         );
-        self.scheduler.first_token(attempt.id, attempt.send.endpoint, elapsed);
+        self.scheduler.report_first_token(attempt.id, attempt.send.endpoint, elapsed);
     }
 
     /// Answers with the stream and forwards it, until it ends or the scheduler migrates it. When this
--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -116,7 +116,7 @@
     }
 
     /// Reports the first token of an answer, received `elapsed` after the attempt was sent.
-    pub fn first_token(&self, attempt: AttemptId, endpoint: EndpointId, elapsed: Micros) {
+    pub fn report_first_token(&self, attempt: AttemptId, endpoint: EndpointId, elapsed: Micros) {
         self.scheduler.notify(Event::FirstToken { request: self.id, attempt, endpoint, elapsed });
     }
 
