--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -130,7 +130,7 @@
             cached_tokens,
             "attempt finished"
         );
-        self.scheduler.attempt_finished(AttemptSummary {
+        self.scheduler.report_attempt_finished(AttemptSummary {
             attempt: attempt.id,
             endpoint: attempt.send.endpoint,
             outcome,
--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -121,7 +121,7 @@
     }
 
     /// Reports the end of an attempt.
-    pub fn attempt_finished(&self, summary: AttemptSummary) {
+    pub fn report_attempt_finished(&self, summary: AttemptSummary) {
         let AttemptSummary { attempt, endpoint, outcome, is_final, cached_tokens, elapsed, load_report } =
             summary;
         self.scheduler.notify(Event::AttemptFinished {
