--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -183,7 +183,7 @@
     fn settle_without_scheduler(&mut self) {
         self.settled = true;
         self.gate.close();
-        self.scheduler.client_disconnected();
+        self.scheduler.report_client_disconnected();
     }
 
     /// Logs a final answer with what led to it, and counts one that comes too late.
--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -137,7 +137,7 @@
     }
 
     /// Reports that the client disconnected. The scheduler replies with [`RequestCommand::Closed`].
-    pub fn client_disconnected(&self) {
+    pub fn report_client_disconnected(&self) {
         self.scheduler.notify(Event::ClientDisconnected(self.id));
     }
 }
