--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -65,7 +65,7 @@
         } else if !removed.is_empty() {
             self.retain(|endpoint| !removed.contains(&endpoint));
         }
-        self.context.scheduler.endpoints_changed(list.snapshot, updates);
+        self.context.scheduler.report_endpoints(list.snapshot, updates);
     }
 
     /// The version of the list that was applied last.
--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -58,7 +58,7 @@
     }
 
     /// Reports a snapshot or a delta of the endpoint list.
-    pub fn endpoints_changed(&self, snapshot: bool, updates: Vec<EndpointUpdate>) {
+    pub fn report_endpoints(&self, snapshot: bool, updates: Vec<EndpointUpdate>) {
         self.notify(Event::EndpointsChanged { snapshot, updates });
     }
 
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -264,7 +264,7 @@
         context.upstream.pool().set_address(id, Some(address));
         updates.push(EndpointUpdate { endpoint: id, ..EndpointUpdate::default() });
     }
-    context.scheduler.endpoints_changed(true, updates);
+    context.scheduler.report_endpoints(true, updates);
 }
 
 /// The scheduler and the endpoints of one API, with the tasks that are still to be spawned.
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -46,7 +46,7 @@
     }
     let max_reservation = duration_from_micros(settings.rules.reservation_limit);
     let (scheduler, _commands) = SchedulerHandle::start(settings, 5, Clock::start());
-    scheduler.endpoints_changed(true, updates.to_vec());
+    scheduler.report_endpoints(true, updates.to_vec());
     let upstream =
         Rc::new(Upstream::new(pool, UpstreamProtocol::Platform, counters.clone(), max_reservation));
     RoutingContext { scheduler, upstream, counters }
