--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -106,7 +106,7 @@
 
     /// Reports a lost watch and gives the time of the next one.
     fn schedule_retry(&mut self, lost: &LostWatch) -> Instant {
-        self.directory.context().scheduler.watch_failed();
+        self.directory.context().scheduler.report_watch_failure();
         let retry_at = lost.since + self.backoff.next_delay();
         let wait = retry_at.saturating_duration_since(Instant::now());
         tracing::warn!(reason = %lost.error, retry_in_ms = wait.as_millis(), "watch lost");
--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -63,7 +63,7 @@
     }
 
     /// Reports that the watch on the endpoint list could not be opened or has ended.
-    pub fn watch_failed(&self) {
+    pub fn report_watch_failure(&self) {
         self.notify(Event::WatchFailed);
     }
 
