--- a/src/routing_context.rs
+++ b/src/routing_context.rs
@@ -25,7 +25,7 @@
     /// Checks an endpoint's health and load, and reports it to the scheduler.
     async fn check_health(self, endpoint: EndpointId) {
         let checked = self.upstream.health_check(endpoint).await;
-        self.scheduler.health_checked(endpoint, checked.outcome, checked.load_report);
+        self.scheduler.report_health_check(endpoint, checked.outcome, checked.load_report);
     }
 }
 
--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -68,7 +68,9 @@
     }
 
     /// Reports the result of a health check, with the endpoint's load report if there was one.
-    pub fn health_checked(&self, endpoint: EndpointId, outcome: Outcome, load_report: Option<LoadReport>) {
+    pub fn report_health_check(
+        &self, endpoint: EndpointId, outcome: Outcome, load_report: Option<LoadReport>,
+    ) {
         self.notify(Event::HealthChecked { endpoint, outcome, load_report });
     }
 
