--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -130,7 +130,7 @@
             cached_tokens,
             "attempt finished"
         );
-        self.scheduler.attempt_finished(AttemptSummary {
+        self.scheduler.report_attempt_finished(AttemptSummary {
             attempt: attempt.id,
             endpoint: attempt.send.endpoint,
             outcome,
@@ -204,7 +204,7 @@
                 | RequestCommand::Send(_)
                 | RequestCommand::ReleaseReservation
                 | RequestCommand::Migrate
-                | RequestCommand::Forgotten,
+                | RequestCommand::Closed,
             ) => {}
             TaskEvent::ClientDisconnected => self.client_disconnected(),
             TaskEvent::Overdue => self.fail_overdue(),
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -128,7 +128,7 @@
                     return None;
                 }
                 TaskEvent::Command(RequestCommand::ReleaseReservation) => self.reservation.release(),
-                TaskEvent::Command(RequestCommand::Forgotten) => return None,
+                TaskEvent::Command(RequestCommand::Closed) => return None,
                 TaskEvent::Command(RequestCommand::Cancel(_) | RequestCommand::Migrate) => {}
                 TaskEvent::ClientDisconnected => self.client_disconnected(),
                 TaskEvent::Overdue => self.fail_overdue(),
@@ -183,7 +183,7 @@
     fn settle_without_scheduler(&mut self) {
         self.settled = true;
         self.gate.close();
-        self.scheduler.client_disconnected();
+        self.scheduler.report_client_disconnected();
     }
 
     /// Logs a final answer with what led to it, and counts one that comes too late.
--- a/src/scheduler/decode_capacity.rs
+++ b/src/scheduler/decode_capacity.rs
@@ -1,4 +1,5 @@
-//! The test of a decode endpoint: whether one more stream keeps the pace of all and fits into its memory.
+//! Capacity check for decode endpoints: whether one more stream fits into the memory and keeps all streams
+//! within their inter-token objectives.
 
 use super::Scheduler;
 use super::endpoint::EndpointState;
@@ -6,88 +7,96 @@
 use super::queue::Tier;
 use super::request::{Request, RequestState};
 
-/// Share of the wanted pace that is used: answer lengths are estimates and the speed curve lags behind.
-const PACE_HEADROOM: f64 = 0.9;
-/// Share of a decode endpoint's memory that is used: beyond it, the newest stream is evicted and prefilled
-/// anew.
-const MEMORY_HEADROOM: f64 = 0.9;
-/// Bound of a utilization, so that the room stays a finite number.
+/// Target fraction of the inter-token objective; below 1 because output lengths are estimates and the speed
+/// curve lags behind the load.
+const TARGET_LATENCY_UTILIZATION: f64 = 0.9;
+/// Target fraction of a decode endpoint's KV cache memory. When the memory is full, the endpoint evicts the
+/// newest stream, which must then be prefilled again.
+const TARGET_MEMORY_UTILIZATION: f64 = 0.9;
+/// Upper bound on a utilization, so that the headroom stays finite.
 const MAX_UTILIZATION: f64 = 1e6;
 
-/// What the first token must keep for a decode endpoint to pass.
+/// Limits that a decode endpoint must meet for a request to be admitted to it.
 #[derive(Clone, Copy)]
-pub(super) struct FirstTokenTest {
+pub(super) struct CapacityCheck {
     /// Microseconds until the KV cache is ready.
-    pub(super) ready_in: f64,
-    /// By when the first token must come.
-    pub(super) limit: Micros,
+    pub(super) cache_ready_in: f64,
+    /// Latest time for the first token.
+    pub(super) first_token_due_at: Micros,
 }
 
-impl FirstTokenTest {
-    /// The test of a waiting request, by its objective or, where that does not count any more, its deadline.
-    pub(super) fn new(request: &Request, ready_in: f64) -> Self {
+impl CapacityCheck {
+    /// The check for a waiting request. The first token is due at the objective or, for a best-effort
+    /// request, at the deadline.
+    pub(super) fn new(request: &Request, cache_ready_in: f64) -> Self {
         let best_effort = matches!(request.state, RequestState::Queued(Tier::BestEffort));
-        let limit = if best_effort { request.deadline } else { request.objective_at };
-        FirstTokenTest { ready_in, limit }
+        let first_token_due_at = if best_effort { request.deadline } else { request.objective_at };
+        CapacityCheck { cache_ready_in, first_token_due_at }
     }
 }
 
 impl Scheduler {
-    /// The room that would be left at a decode endpoint, as a share. With a test, none unless the endpoint
-    /// keeps the pace of all its streams, has the memory, and gives the first token in time.
-    pub(super) fn room(
-        &self, now: Micros, request: &Request, endpoint: &EndpointState, test: Option<FirstTokenTest>,
+    /// The fraction of capacity that would remain at a decode endpoint with this request added. With a check,
+    /// returns `None` unless the endpoint meets the objectives of all its streams, has enough memory and can
+    /// produce the first token in time.
+    pub(super) fn headroom(
+        &self, now: Micros, request: &Request, endpoint: &EndpointState, check: Option<CapacityCheck>,
     ) -> Option<f64> {
-        let pace_utilization = self.pace_utilization(now, request, endpoint);
+        let latency_utilization = self.latency_utilization(now, request, endpoint);
         let memory_utilization = self.memory_utilization(now, request, endpoint);
-        if let Some(test) = test {
-            let time_needed = test.ready_in + self.first_token_time(now, endpoint);
+        if let Some(check) = check {
+            let time_needed = check.cache_ready_in + self.first_token_time(now, endpoint);
             let first_token_at = now.saturating_add(time_needed as Micros);
-            if pace_utilization > 1.0 || memory_utilization > 1.0 || first_token_at > test.limit {
+            if latency_utilization > 1.0
+                || memory_utilization > 1.0
+                || first_token_at > check.first_token_due_at
+            {
                 return None;
             }
         }
-        Some(1.0 - pace_utilization.max(memory_utilization).min(MAX_UTILIZATION))
+        Some(1.0 - latency_utilization.max(memory_utilization).min(MAX_UTILIZATION))
     }
 
-    /// Time for each token with this request, against the strictest objective there.
-    fn pace_utilization(&self, now: Micros, request: &Request, endpoint: &EndpointState) -> f64 {
-        let joins = !endpoint.streams.contains(&request.id());
-        let streams = self.stream_count(now, endpoint) + if joins { 1.0 } else { 0.0 };
+    /// Expected inter-token latency with this request added, relative to the strictest objective among the
+    /// endpoint's streams.
+    fn latency_utilization(&self, now: Micros, request: &Request, endpoint: &EndpointState) -> f64 {
+        let is_new_stream = !endpoint.streams.contains(&request.id());
+        let streams = self.stream_count(now, endpoint) + if is_new_stream { 1.0 } else { 0.0 };
         let warmup_factor = endpoint.warmup_factor(now, &self.settings.rules);
-        let pace = self.speed_curves[endpoint.kind.0].pace(streams) / warmup_factor;
+        let latency = self.speed_curves[endpoint.kind.0].inter_token_latency(streams) / warmup_factor;
         let objectives = self.own_streams(endpoint).map(|stream| stream.inter_token_objective);
-        pace / (objectives.fold(request.inter_token_objective, f64::min) * PACE_HEADROOM)
+        latency / (objectives.fold(request.inter_token_objective, f64::min) * TARGET_LATENCY_UTILIZATION)
     }
 
-    /// Memory in use with this request, as a share of what may be used.
+    /// KV cache memory in use with this request added, as a fraction of the target.
     fn memory_utilization(&self, now: Micros, request: &Request, endpoint: &EndpointState) -> f64 {
-        let joins = !endpoint.streams.contains(&request.id());
-        let added_tokens = if joins { request.footprint_tokens } else { 0.0 };
+        let is_new_stream = !endpoint.streams.contains(&request.id());
+        let added_tokens = if is_new_stream { request.footprint_tokens } else { 0.0 };
         let own_tokens: f64 = self.own_streams(endpoint).map(|stream| stream.footprint_tokens).sum();
         let tokens = own_tokens + added_tokens + self.external_tokens(now, endpoint);
-        tokens / (endpoint.memory_tokens * MEMORY_HEADROOM).max(1.0)
+        tokens / (endpoint.memory_tokens * TARGET_MEMORY_UTILIZATION).max(1.0)
     }
 
-    /// All streams at a decode endpoint: this replica's, and the others' by the memory that they use.
+    /// Number of streams at a decode endpoint: this replica's own, plus an estimate of the other replicas'
+    /// streams from the memory that they use.
     pub(super) fn stream_count(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let external = self.external_tokens(now, endpoint) / self.estimates.request_footprint.max(1.0);
         endpoint.streams.len() as f64 + external
     }
 
-    /// This replica's requests that a decode endpoint counts.
+    /// This replica's requests that are assigned to a decode endpoint.
     pub(super) fn own_streams(&self, endpoint: &EndpointState) -> impl Iterator<Item = &Request> {
         endpoint.streams.iter().filter_map(|id| self.requests.get(id))
     }
 
-    /// Tokens of other replicas' requests at a decode endpoint: its last report, decaying towards the fleet's
-    /// mean.
+    /// Estimated tokens of other replicas' requests at a decode endpoint: the last reported value, decaying
+    /// towards the fleet mean.
     fn external_tokens(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let mean = if endpoint.memory_tokens.is_finite() {
-            self.estimates.external_share * endpoint.memory_tokens
+            self.estimates.external_fraction * endpoint.memory_tokens
         } else {
             0.0
         };
-        endpoint.external_tokens.map_or(mean, |reported| reported.get(now, mean))
+        endpoint.external_tokens.map_or(mean, |reported| reported.value_at(now, mean))
     }
 }
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint may be sent a request now.
+//! Eligibility: whether an endpoint may currently be sent a request.
 
 use super::Scheduler;
 use super::endpoint::{BackpressureKey, EndpointState};
@@ -6,16 +6,16 @@
 use super::request::Request;
 
 impl Scheduler {
-    /// Whether an endpoint may be sent the request now, as far as this replica knows.
-    pub(super) fn accepts(&self, now: Micros, endpoint: &EndpointState, request: &Request) -> bool {
+    /// Whether the endpoint may currently be sent the request, as far as this replica knows.
+    pub(super) fn is_eligible(&self, now: Micros, endpoint: &EndpointState, request: &Request) -> bool {
         let reachable = request
             .locally_unreachable
             .is_none_or(|unreachable| unreachable.endpoint != endpoint.id || now >= unreachable.until);
         endpoint.is_ready()
-            && self.may_run_at(now, request, endpoint.id)
+            && self.may_execute_at(now, request, endpoint.id)
             && now >= endpoint.ejected_until.max(endpoint.transfer_stalled_until)
             && reachable
-            && !is_on_trial(endpoint)
+            && !has_trial_in_flight(endpoint)
             && !has_backpressure(now, endpoint, request)
             && self.has_slow_start_budget(now, endpoint)
     }
@@ -26,8 +26,9 @@
     }
 }
 
-/// After a failure, an endpoint is sent one attempt at a time until one succeeds.
-fn is_on_trial(endpoint: &EndpointState) -> bool {
+/// Whether an attempt is in flight at an endpoint that has failed. Such an endpoint gets one attempt at a
+/// time until one succeeds, like a half-open circuit breaker.
+fn has_trial_in_flight(endpoint: &EndpointState) -> bool {
     endpoint.consecutive_failures > 0 && !endpoint.pending_attempts.is_empty()
 }
 
--- a/src/scheduler/load_report.rs
+++ b/src/scheduler/load_report.rs
@@ -1,26 +1,26 @@
-//! Endpoints' load reports, and the health checks that fetch them where responses bring too few.
+//! Load reports of endpoints, and the health checks that fetch them when responses carry too few.
 
 use super::Scheduler;
 use super::action::Action;
-use super::decaying_average::{DecayingAverage, FLEET_GAIN};
+use super::decaying_average::{DecayingAverage, FLEET_SAMPLE_WEIGHT};
 use super::endpoint::{EndpointState, Pool};
 use super::event::LoadReport;
 use super::hashing::unit_hash;
 use super::ids::{EndpointId, Micros, RequestId};
 
-/// Microseconds for which a report holds: no endpoint renews its reports more seldom.
+/// How long a load report is valid; every endpoint renews its report at least this often.
 pub(super) const LOAD_REPORT_LIFETIME: Micros = 1_000_000;
-/// Mean microseconds between the health checks that a decode endpoint gets from all replicas together.
-const FLEET_HEALTH_CHECK_INTERVAL: f64 = 350_000.0;
-/// Microseconds that a request waits for load reports: two round trips and a handshake, little against any
+/// Mean microseconds between health checks of one decode endpoint, over all replicas together.
+const FLEET_HEALTH_CHECK_INTERVAL_US: f64 = 350_000.0;
+/// How long a request waits for load reports: two round trips and a handshake, short compared with any
 /// objective.
 const QUEUE_QUERY_TIMEOUT: Micros = 15_000;
-/// Largest share of memory that a report is believed with; above 1, as some endpoints count requests still to
-/// come.
-const MAX_MEMORY_UTILIZATION: f64 = 2.0;
+/// Largest memory utilization accepted from a report; above 1 because some endpoints include requests that
+/// have not arrived yet.
+const MAX_REPORTED_UTILIZATION: f64 = 2.0;
 
 impl Scheduler {
-    /// Takes in a load report; absurd values are passed over.
+    /// Records a load report; implausible values are clamped or ignored.
     pub(super) fn record_load_report(&mut self, now: Micros, id: EndpointId, report: Option<&LoadReport>) {
         let Some(report) = report else { return };
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
@@ -33,9 +33,9 @@
         }
     }
 
-    /// What a decode endpoint's memory holds beyond this replica's streams is that of others.
+    /// Derives the tokens of other replicas' requests: the memory in use minus this replica's own streams.
     fn record_memory_utilization(&mut self, now: Micros, id: EndpointId, utilization: f64) {
-        if !(0.0..=MAX_MEMORY_UTILIZATION).contains(&utilization) {
+        if !(0.0..=MAX_REPORTED_UTILIZATION).contains(&utilization) {
             return;
         }
         let Some(endpoint) = self.endpoints.get(&id) else { return };
@@ -45,38 +45,38 @@
         let streaming = self.own_streams(endpoint).filter(|request| request.is_streaming());
         let own_tokens: f64 = streaming.map(|request| request.footprint_tokens).sum();
         let external_tokens = (utilization * endpoint.memory_tokens - own_tokens).max(0.0);
-        let external_share = external_tokens / endpoint.memory_tokens.max(1.0);
-        self.estimates.external_share += FLEET_GAIN * (external_share - self.estimates.external_share);
+        let external_fraction = external_tokens / endpoint.memory_tokens.max(1.0);
+        self.estimates.external_fraction +=
+            FLEET_SAMPLE_WEIGHT * (external_fraction - self.estimates.external_fraction);
         if let Some(reporter) = self.endpoints.get_mut(&id) {
             reporter.external_tokens = Some(DecayingAverage::new(now, external_tokens));
         }
     }
 
-    /// Checks the decode endpoints that are due. Their intervals are random, so that the checks of one
-    /// replica and those of all replicas spread out; the first interval of an endpoint begins without a
-    /// check.
-    pub(super) fn send_health_checks(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Checks the decode endpoints that are due. Intervals are random to spread the checks of one replica and
+    /// of all replicas over time. The first interval of an endpoint starts without a check.
+    pub(super) fn send_health_checks(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let enabled = self.settings.capabilities.health_checks;
         if !enabled || self.requests.is_empty() || self.receives_enough_reports(now, Pool::Decode) {
             return;
         }
-        let mean_interval = FLEET_HEALTH_CHECK_INTERVAL * f64::from(self.settings.replicas);
+        let mean_interval = FLEET_HEALTH_CHECK_INTERVAL_US * f64::from(self.settings.replicas);
         let due = |endpoint: &&mut EndpointState| {
             endpoint.pool() == Pool::Decode && endpoint.is_ready() && now >= endpoint.health_check_at
         };
         for endpoint in self.endpoints.values_mut().filter(due) {
             let is_first = endpoint.health_check_at == 0;
             if !is_first {
-                out.push(Action::HealthCheck(endpoint.id));
+                actions.push(Action::HealthCheck(endpoint.id));
             }
-            let draw = unit_hash(endpoint.id.0, now as u64 ^ self.salt) + if is_first { 0.0 } else { 0.5 };
+            let draw = unit_hash(endpoint.id.0, now as u64 ^ self.seed) + if is_first { 0.0 } else { 0.5 };
             endpoint.health_check_at = now.saturating_add((mean_interval * draw) as Micros);
         }
     }
 
-    /// Asks a new request's prefill endpoints for the length of their queues, and lets the request wait for
-    /// that.
-    pub(super) fn query_prefill_queues(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
+    /// Queries the queue lengths of a new request's prefill endpoints and lets the request wait for the
+    /// answers.
+    pub(super) fn query_prefill_queues(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let enabled = self.settings.capabilities.health_checks;
         if !enabled || self.receives_enough_reports(now, Pool::Prefill) {
             return;
@@ -87,12 +87,12 @@
             if let Some(endpoint) = self.endpoints.get_mut(endpoint_id) {
                 endpoint.health_check_at = now;
             }
-            out.push(Action::HealthCheck(*endpoint_id));
+            actions.push(Action::HealthCheck(*endpoint_id));
         }
     }
 
-    /// Whether this replica's own requests bring reports from each endpoint of a pool as often as these are
-    /// renewed.
+    /// Whether the responses to this replica's own requests bring load reports from each endpoint of the pool
+    /// as often as the endpoints renew them.
     fn receives_enough_reports(&self, now: Micros, pool: Pool) -> bool {
         let reports_per_lifetime = self.arrival_rate_per_endpoint(now, pool) * LOAD_REPORT_LIFETIME as f64;
         self.settings.replicas < 2 || reports_per_lifetime > 1.0
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,11 +1,11 @@
-//! Every routing decision of one replica. Nothing here does I/O or reads a clock: the caller passes
-//! [`Event`]s to [`Scheduler::handle`] and carries the returned [`Action`]s out.
+//! The routing decisions of one replica. This module performs no I/O and reads no clock: the caller passes
+//! [`Event`]s to [`Scheduler::handle`] and executes the returned [`Action`]s.
 //!
-//! The mechanism is the online phase of SABER: a request waits in one of two tiers (`queue`) until a test by
-//! a decode endpoint's speed curve (`decode_capacity`) admits it (`admission`). `prefill_selection` and
-//! `decode_selection` choose its endpoints, `attempt` sends it and handles outcomes, `retry` decides whether
-//! it may be tried again, and `slow_start`, `outlier` and `load_report` say how much each endpoint can be
-//! sent.
+//! The algorithm is the online phase of SABER: a request waits in one of two queue tiers (`queue`) until a
+//! check against a decode endpoint's speed curve (`decode_capacity`) admits it (`admission`).
+//! `prefill_selection` and `decode_selection` choose its endpoints, `attempt` sends it and handles outcomes,
+//! and `retry` decides whether it may be retried. `slow_start`, `outlier` and `load_report` limit how much
+//! each endpoint is sent.
 
 mod action;
 mod admission;
@@ -55,69 +55,69 @@
 use slow_start::SlowStartCredit;
 use speed_curve::SpeedCurve;
 
-/// Microseconds between looks at waiting requests: short against every first-token objective.
+/// Interval between checks of waiting requests; short compared with any first-token objective.
 const QUEUE_CHECK_INTERVAL: Micros = 5_000;
-/// Microseconds between attempts to watch the endpoint list.
+/// Minimum delay between two requests to watch the endpoint list.
 const WATCH_RETRY_DELAY: Micros = 1_000_000;
 
-/// The state of one replica's decisions.
+/// The routing state of one replica.
 #[derive(Default)]
 pub struct Scheduler {
     settings: Settings,
-    /// Seeds the random draws, so that replicas with the same knowledge draw differently.
-    salt: u64,
+    /// Seed of the replica's random draws, so that replicas with the same state draw differently.
+    seed: u64,
     endpoints: BTreeMap<EndpointId, EndpointState>,
     ready_endpoints: PoolSizes,
     requests: BTreeMap<RequestId, Request>,
     queue: Queue,
-    /// One curve for each kind of endpoint.
+    /// One curve per kind of endpoint.
     speed_curves: Vec<SpeedCurve>,
-    /// One bucket for each tenant.
+    /// One bucket per tenant.
     quotas: Vec<TokenBucket>,
     estimates: FleetEstimates,
     slow_start_credit: SlowStartCredit,
     arrivals: ArrivalRate,
-    /// When the timer that is set fires.
+    /// When the pending timer fires.
     timer_due_at: Option<Micros>,
     watch_requested_at: Option<Micros>,
-    /// The endpoint list is watched, or a watch has been requested.
+    /// Whether the endpoint list is being watched or a watch has been requested.
     watch_open: bool,
 }
 
 impl Scheduler {
-    /// A scheduler that knows no endpoint yet. Replicas should have different seeds.
+    /// Creates a scheduler that knows no endpoints yet. Each replica should pass a different seed.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Scheduler {
             speed_curves: vec![SpeedCurve::default(); settings.kinds.len()],
             quotas: vec![TokenBucket::full(); settings.tenants.len()],
-            salt: seed,
+            seed,
             settings,
             ..Scheduler::default()
         }
     }
 
-    /// Takes in what happened by `now` and appends what is to be done, in order.
-    pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
-        self.arrivals.start(now);
+    /// Processes the events that occurred up to `now` and appends the resulting actions in order.
+    pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
+        self.arrivals.start_counting(now);
         self.accrue_slow_start_credit(now);
         for event in events {
-            self.handle_event(now, event, out);
+            self.handle_event(now, event, actions);
         }
-        self.watch_endpoints(now, out);
-        self.send_prefilled(now, out);
-        self.update_tiers(now, out);
-        self.admit_queued(now, out);
-        self.send_health_checks(now, out);
-        self.set_timer(now, out);
+        self.watch_endpoints(now, actions);
+        self.send_prefilled(now, actions);
+        self.update_tiers(now, actions);
+        self.admit_queued(now, actions);
+        self.send_health_checks(now, actions);
+        self.set_timer(now, actions);
     }
 
-    fn handle_event(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointsChanged { snapshot, updates } => self.endpoints_changed(now, *snapshot, updates),
+            Event::EndpointsChanged { snapshot, updates } => self.update_endpoints(now, *snapshot, updates),
             Event::WatchFailed => self.watch_open = false,
-            Event::RequestReceived(spec) => self.request_received(now, spec, out),
+            Event::RequestReceived(spec) => self.handle_request_received(now, spec, actions),
             Event::FirstToken { request, endpoint, elapsed, .. } => {
-                self.first_token(now, *request, *endpoint, *elapsed);
+                self.handle_first_token(now, *request, *endpoint, *elapsed);
             }
             Event::AttemptFinished {
                 request,
@@ -138,9 +138,9 @@
                     cached_tokens: *cached_tokens,
                     elapsed: *elapsed,
                 };
-                self.attempt_finished(now, &result, out);
+                self.handle_attempt_finished(now, &result, actions);
             }
-            Event::ClientDisconnected(request) => self.client_disconnected(*request, out),
+            Event::ClientDisconnected(request) => self.handle_client_disconnected(*request, actions),
             Event::HealthChecked { endpoint, load_report, .. } => {
                 self.record_load_report(now, *endpoint, load_report.as_ref());
             }
@@ -149,26 +149,26 @@
         }
     }
 
-    /// Watches the endpoint list, again after a failure.
-    fn watch_endpoints(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Requests a watch on the endpoint list if there is none, for example after it failed.
+    fn watch_endpoints(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let since_last_request = self.watch_requested_at.map_or(Micros::MAX, |at| now - at);
         let wanted = self.settings.watch_endpoint_list && !self.watch_open;
         if wanted && since_last_request >= WATCH_RETRY_DELAY {
-            out.push(Action::WatchEndpoints);
+            actions.push(Action::WatchEndpoints);
             self.watch_open = true;
             self.watch_requested_at = Some(now);
         }
     }
 
-    /// Keeps one timer set while a request waits here or the endpoint list is to be watched again.
-    fn set_timer(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Keeps one timer pending while a request is waiting or the endpoint list has to be watched again.
+    fn set_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let request_waits = self.requests.values().any(Request::is_waiting);
         let watch_needed = self.settings.watch_endpoint_list && !self.watch_open;
         let after = if request_waits { QUEUE_CHECK_INTERVAL } else { WATCH_RETRY_DELAY };
         let due_later = self.timer_due_at.is_none_or(|at| at > now + after);
         if (request_waits || watch_needed) && due_later {
             self.timer_due_at = Some(now + after);
-            out.push(Action::SetTimer { token: 0, after });
+            actions.push(Action::SetTimer { token: 0, after });
         }
     }
 }
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: what idempotency allows, and the final answer where nothing is left to try.
+//! Retries: restrictions due to idempotency, and the final answer when no retry is possible.
 
 use super::Scheduler;
 use super::action::Action;
@@ -7,37 +7,38 @@
 use super::request::{Request, RequestState};
 use super::settings::{DeduplicationScope, Idempotency, Settings};
 
-/// Attempts that a prompt needs which is prefilled at one endpoint and decoded at another.
+/// Attempts needed to prefill at one endpoint and decode at another.
 pub(super) const ATTEMPTS_FOR_PREFILL_AND_DECODE: u32 = 2;
-/// Attempts that a request with a reserved KV cache needs.
+/// Attempts needed if the KV cache is already reserved.
 const ATTEMPTS_FOR_DECODE: u32 = 1;
-/// Microseconds before the client's deadline at which a waiting request gets its final answer.
+/// Time before the client's deadline at which a waiting request gets its final answer.
 pub(super) const FINAL_ANSWER_MARGIN: Micros = 10_000;
-/// Microseconds of a deduplication window that are left unused: a handshake and the way to the endpoint.
+/// Safety margin at the end of a deduplication window: time for a handshake and for the request to reach the
+/// endpoint.
 const DEDUPLICATION_MARGIN: Micros = 100_000;
-/// Share of the reservation limit by which an attempt with a reserved KV cache must have begun.
-const RESERVED_START_SHARE: f64 = 0.9;
+/// Fraction of the reservation limit within which an attempt with a reserved KV cache must start.
+const RESERVED_START_FRACTION: f64 = 0.9;
 
 impl Request {
-    /// Until when the next attempt may begin; none where any time will do. A connection may take long to come
-    /// up, and a reserved KV cache waits meanwhile.
-    pub(super) fn start_limit(&self, settings: &Settings) -> Option<Micros> {
-        let by_deduplication = self.deduplicated_until(settings);
-        let by_reservation = self.reservation_start_limit(settings);
-        match (by_deduplication, by_reservation) {
+    /// Latest start of the next attempt; `None` if unlimited. Needed because a connection may take long to
+    /// open while the KV cache stays reserved.
+    pub(super) fn start_deadline(&self, settings: &Settings) -> Option<Micros> {
+        let deduplication_deadline = self.deduplicated_until(settings);
+        let reservation_deadline = self.reservation_start_deadline(settings);
+        match (deduplication_deadline, reservation_deadline) {
             (Some(deduplication), Some(reservation)) => Some(deduplication.min(reservation)),
             (limit, None) | (None, limit) => limit,
         }
     }
 
-    /// Until when an attempt with the reserved KV cache may begin.
-    fn reservation_start_limit(&self, settings: &Settings) -> Option<Micros> {
+    /// Latest start of an attempt that uses the reserved KV cache.
+    fn reservation_start_deadline(&self, settings: &Settings) -> Option<Micros> {
         let RequestState::Decoding(Some(reservation)) = self.state else { return None };
-        let usable_for = (settings.rules.reservation_limit as f64 * RESERVED_START_SHARE) as Micros;
+        let usable_for = (settings.rules.reservation_limit as f64 * RESERVED_START_FRACTION) as Micros;
         Some(reservation.reserved_since.saturating_add(usable_for))
     }
 
-    /// Until when an attempt may begin that could execute a keyed request a second time.
+    /// Latest start of an attempt that could execute a keyed request a second time.
     fn deduplicated_until(&self, settings: &Settings) -> Option<Micros> {
         let first = self.possible_execution?;
         match settings.classes[self.spec.class.0].idempotency {
@@ -48,8 +49,9 @@
 }
 
 impl Scheduler {
-    /// Whether no attempt at this endpoint, also not a prefill, can do harm by a second execution.
-    pub(super) fn may_run_at(&self, now: Micros, request: &Request, at: EndpointId) -> bool {
+    /// Whether an attempt at this endpoint is safe with respect to a second execution. Applies to prefill
+    /// attempts as well.
+    pub(super) fn may_execute_at(&self, now: Micros, request: &Request, at: EndpointId) -> bool {
         let Some(first) = request.possible_execution else { return true };
         let scope = match self.settings.classes[request.spec.class.0].idempotency {
             Idempotency::Idempotent => return true,
@@ -69,8 +71,8 @@
         }
     }
 
-    /// Whether the request has the attempts left that it needs, and an endpoint that may execute it.
-    pub(super) fn may_run_anywhere(&self, now: Micros, id: RequestId) -> bool {
+    /// Whether the request has enough attempts left and some endpoint may execute it.
+    pub(super) fn may_execute_anywhere(&self, now: Micros, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return true };
         let needed = if request.prefill_endpoint().is_some() {
             ATTEMPTS_FOR_DECODE
@@ -81,21 +83,21 @@
             return false;
         }
         request.possible_execution.is_none()
-            || self.ready_in(Pool::Decode).any(|endpoint| self.may_run_at(now, request, endpoint.id))
+            || self.ready_in(Pool::Decode).any(|endpoint| self.may_execute_at(now, request, endpoint.id))
     }
 
-    /// Gives the final answer of a request that is not served, and releases everything that is reserved for
-    /// it. It is rejected, so that the client may retry, unless a second execution could do harm.
-    pub(super) fn finish_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Gives the final answer to a request that cannot be served and releases its reservations. The request
+    /// is rejected, so that the client may retry, unless a second execution could do harm.
+    pub(super) fn finish_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        if request.ordered_attempts > 0 {
-            out.push(Action::ReleaseReservation(id));
+        if request.requested_attempts > 0 {
+            actions.push(Action::ReleaseReservation(id));
         }
         let client_may_retry = match self.settings.classes[request.spec.class.0].idempotency {
             Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
             Idempotency::Keyed { .. } | Idempotency::NonIdempotent => request.possible_execution.is_none(),
         };
-        out.push(if client_may_retry {
+        actions.push(if client_may_retry {
             Action::Reject { request: id, retry_after: self.settings.capabilities.max_retry_after }
         } else {
             Action::Fail(id)
@@ -103,22 +105,21 @@
         self.remove_request(id);
     }
 
-    /// Drops a request whose client has left, at once or, with an attempt in flight, when that ends.
-    pub(super) fn client_disconnected(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Removes a request whose client disconnected: immediately, or when the attempt in flight ends.
+    pub(super) fn handle_client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.is_waiting() {
-            out.push(Action::ReleaseReservation(id));
+            actions.push(Action::ReleaseReservation(id));
             self.remove_request(id);
             return;
         }
-        request.disconnected = true;
+        request.client_disconnected = true;
         if self.settings.capabilities.cancellation && !request.is_streaming() {
-            let attempt = AttemptId(request.ordered_attempts.max(1) - 1);
-            out.push(Action::Cancel { request: id, attempt });
+            let attempt = AttemptId(request.requested_attempts.max(1) - 1);
+            actions.push(Action::Cancel { request: id, attempt });
         }
     }
 
-    /// Forgets a request.
     pub(super) fn remove_request(&mut self, id: RequestId) {
         self.unassign_decode_endpoint(id);
         if let Some(request) = self.requests.remove(&id) {
