--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt of a request: it is sent, waited for up to its first event, and its outcome is reported.
+//! Runs one attempt of a request: sends it, waits for its first event and reports its outcome to the
+//! scheduler.
 
 use std::ops::ControlFlow;
 
@@ -12,7 +13,7 @@
 use crate::upstream::exchange::{AttemptResponse, FirstResponse, RequestPayload};
 use crate::upstream::send_gate::AttemptDeadlines;
 
-/// One attempt in progress.
+/// An attempt in progress.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
     pub(super) id: AttemptId,
@@ -21,57 +22,58 @@
 }
 
 impl Attempt {
-    /// Time since the task received the scheduler's command.
+    /// Returns the time since the task received the scheduler's command.
     pub(super) fn elapsed(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Until when the first event is waited for: the attempt's own timeout or the request's deadline.
+    /// Returns the deadline for the first event: the earlier of the attempt's timeout and the request's
+    /// deadline.
     fn response_deadline(&self, request_deadline: Instant) -> Instant {
         let attempt_deadline = self.started_at + duration_from_micros(self.send.timeout);
         attempt_deadline.min(request_deadline)
     }
 
-    /// Until when the attempt must have begun, if it may not begin at any time.
+    /// Returns the time by which the attempt must have started, or `None` if there is no such limit.
     fn start_deadline(&self) -> Option<Instant> {
         let start_within = self.send.start_within?;
         Some(self.started_at + duration_from_micros(start_within))
     }
 }
 
-/// A response whose first event has come, with the attempt that it belongs to.
+/// A response whose first event has arrived, and the attempt it belongs to.
 pub(super) struct StartedStream {
     pub(super) events: Box<EventStream>,
     pub(super) attempt: Attempt,
 }
 
-/// What follows after an attempt.
+/// What the request's task does after an attempt.
 pub(super) enum NextStep {
-    /// The scheduler decides what to do next.
+    /// Wait for the scheduler's next command.
     AwaitCommand,
-    /// Nothing more is owed to the client.
+    /// End the task: the client has its final answer or has disconnected.
     Finish,
-    /// The response has begun and is forwarded.
+    /// Forward the response, which has started, to the client.
     Forward(StartedStream),
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub(super) struct AttemptEnd {
     outcome: Outcome,
-    /// Prompt tokens that were found in the endpoint's cache.
+    /// Number of prompt tokens found in the endpoint's cache.
     cached_tokens: f64,
     load_report: Option<LoadReport>,
 }
 
 impl From<Outcome> for AttemptEnd {
-    /// The endpoint reported nothing beside the outcome.
+    /// Builds the result of an attempt for which the endpoint reported nothing but the outcome.
     fn from(outcome: Outcome) -> Self {
         AttemptEnd { outcome, cached_tokens: 0.0, load_report: None }
     }
 }
 
 impl RequestTask {
-    /// Runs one attempt, until it ends, is cancelled, or its stream begins.
+    /// Runs one attempt until it ends, is cancelled, or its stream starts.
     pub(super) async fn run_attempt(&mut self, send: SendCommand, payload: &RequestPayload) -> NextStep {
         let attempt = self.start_attempt(send);
         if self.settled {
@@ -91,8 +93,8 @@
             }
             AttemptResponse::Finished(outcome) => {
                 if is_prefill && !outcome.excludes_execution() {
-                    // The prompt may have been prefilled although the response was lost. The state must not
-                    // stay reserved past its limit.
+                    // The prompt may have been prefilled even though the response was lost. The KV cache must
+                    // not stay reserved past its limit.
                     self.reservation.start();
                     self.reservation.release();
                 }
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Counts and logs the start of the next attempt.
+    /// Assigns the next attempt id and logs the start of the attempt.
     fn start_attempt(&mut self, send: SendCommand) -> Attempt {
         let attempt = Attempt { id: AttemptId(self.attempts), send, started_at: Instant::now() };
         self.attempts += 1;
@@ -116,7 +118,7 @@
         attempt
     }
 
-    /// Counts and logs how an attempt ended, and reports it to the scheduler.
+    /// Counts and logs an attempt's outcome and reports it to the scheduler.
     pub(super) fn finish_attempt(&mut self, attempt: &Attempt, result: AttemptEnd) -> NextStep {
         let AttemptEnd { outcome, cached_tokens, load_report } = result;
         self.last_outcome = Some(outcome);
@@ -142,7 +144,8 @@
         if self.settled { NextStep::Finish } else { NextStep::AwaitCommand }
     }
 
-    /// Releases what an earlier prefill has reserved; false when the client disconnects meanwhile.
+    /// Releases the reservation of an earlier prefill. Returns `false` if the client disconnects in the
+    /// meantime.
     async fn release_before_prefill(&mut self) -> bool {
         let client_disconnected = tokio::select! {
             () = self.reservation.release_before_prefill() => false,
@@ -154,8 +157,8 @@
         !client_disconnected
     }
 
-    /// Sends an attempt and waits for its first event. Meanwhile the scheduler may cancel the attempt; a
-    /// client that disconnects is reported to the scheduler, which decides whether to do so.
+    /// Sends the attempt and waits for its first event. In the meantime the scheduler may cancel the attempt.
+    /// A client disconnect is reported to the scheduler, which decides whether to cancel.
     async fn first_response(&mut self, attempt: &Attempt, payload: &RequestPayload) -> FirstResponse {
         let deadlines = AttemptDeadlines {
             response_deadline: attempt.response_deadline(self.deadline),
@@ -175,20 +178,21 @@
             if self.handle_during_attempt(&event, attempt.id).is_break() {
                 return FirstResponse::finished(Outcome::Cancelled);
             }
-            // Not every endpoint supports cancellation, but what has not been sent yet is not sent at all.
+            // Not every endpoint supports cancellation, but an attempt that has not been sent yet can always
+            // be dropped.
             if self.settled && !self.gate.attempt_in_flight() {
                 return FirstResponse::finished(Outcome::Abandoned);
             }
         }
     }
 
-    /// Handles what happens while an attempt is in progress; breaks when the attempt is cancelled.
+    /// Handles an event that occurs during an attempt. Breaks if the attempt is cancelled.
     fn handle_during_attempt(&mut self, event: &TaskEvent, attempt: AttemptId) -> ControlFlow<()> {
         match event {
             TaskEvent::Command(RequestCommand::Cancel(cancelled)) if *cancelled == attempt => {
                 return ControlFlow::Break(());
             }
-            // The scheduler has ended the request with the attempt in progress.
+            // The scheduler has ended the request while the attempt was in progress.
             TaskEvent::Command(RequestCommand::Reject(retry_after)) => {
                 self.reject(*retry_after);
                 self.settled = true;
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The task of one request: it carries out the scheduler's commands and ends with one final answer.
+//! The task of one request: executes the scheduler's commands and ends with exactly one final answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,25 +15,24 @@
 use crate::upstream::exchange::RequestPayload;
 use crate::upstream::send_gate::SendGate;
 
-/// How long (15 ms) past its deadline a request without a decision is failed by its own task. The rules allow
-/// more, and a scheduler that works has decided by then.
+/// Time (15 ms) after the deadline at which the task fails a request that the scheduler has not decided. The
+/// rules allow more, and a healthy scheduler has decided by then.
 const OVERDUE_GRACE: Duration = Duration::from_millis(15);
 
-/// How far (500 ms) past its deadline a final answer may come before it counts as a violation.
+/// How late (500 ms after the deadline) a final answer may be before it counts as a violation.
 const MAX_ANSWER_LATENESS: Duration = Duration::from_millis(500);
 
-/// What a request's task reacts to before its stream begins.
+/// An event that a request's task handles before its stream starts.
 pub(super) enum TaskEvent {
-    /// The scheduler's next command.
+    /// The scheduler sent a command.
     Command(RequestCommand),
-    /// The client disconnected before it had its answer.
+    /// The client disconnected before it received a final answer.
     ClientDisconnected,
-    /// The deadline has passed without a decision.
+    /// The scheduler made no decision by the deadline.
     Overdue,
 }
 
-/// One request in progress. It owns the request's place at the scheduler, the way back to its client, and
-/// whatever is reserved for it.
+/// A request in progress. Owns the request's scheduler handle, its responder and its reservation.
 pub(super) struct RequestTask {
     pub(super) context: RoutingContext,
     pub(super) id: Rc<str>,
@@ -41,15 +40,15 @@
     pub(super) responder: Responder,
     pub(super) reservation: Reservation,
     pub(super) gate: Rc<SendGate>,
-    /// When the client gives this try up.
+    /// When the client stops waiting for an answer.
     pub(super) deadline: Instant,
-    /// Its answer is one response, not a stream.
+    /// Whether the client expects a single response instead of a stream.
     pub(super) unary: bool,
-    /// Attempts so far, which is also the next attempt's id.
+    /// Number of attempts so far, which is also the next attempt's id.
     pub(super) attempts: u32,
     pub(super) last_outcome: Option<Outcome>,
-    /// Nothing more is owed to the client, as it has its final answer or has disconnected. No attempt starts
-    /// any more, and one that is in progress is the last.
+    /// Whether the client has its final answer or has disconnected. No further attempt is started, and one in
+    /// progress is the last.
     pub(super) settled: bool,
 }
 
@@ -81,7 +80,8 @@
         }
     }
 
-    /// Follows the scheduler's decisions until the request is over (none) or its stream begins.
+    /// Executes the scheduler's commands until the stream starts. Returns `None` if the request ends without
+    /// a stream.
     pub(super) async fn run_until_stream(&mut self, payload: &RequestPayload) -> Option<StartedStream> {
         while let Some(send) = self.next_send().await {
             match self.run_attempt(send, payload).await {
@@ -93,8 +93,8 @@
         None
     }
 
-    /// Ends the task: checks that the client has its answer, and waits until nothing is reserved any more.
-    /// Only then does the scheduler learn that the task has ended.
+    /// Ends the task: checks that the client was answered and waits until nothing is reserved any more. The
+    /// scheduler is notified of the task's end only after that.
     pub(super) async fn finish(self) {
         if self.responder.client_waits() {
             self.context.counters.violations_unanswered.increment();
@@ -103,8 +103,8 @@
         self.reservation.finish().await;
     }
 
-    /// Waits for whatever comes first. A command that is ready goes before the client's disconnect, and that
-    /// before the deadline.
+    /// Waits for the next event. A pending command takes precedence over a client disconnect, and both over
+    /// the deadline.
     pub(super) async fn next_event(&mut self) -> TaskEvent {
         tokio::select! {
             biased;
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Waits, with no attempt in flight, for the next command to send the request; none once it is over.
+    /// Waits, with no attempt in flight, for the next send command. Returns `None` if the request ends
+    /// instead.
     async fn next_send(&mut self) -> Option<SendCommand> {
         loop {
             match self.next_event().await {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Answers with the scheduler's rejection, if the client still waits for an answer.
+    /// Answers with the scheduler's rejection unless the request is already settled.
     pub(super) fn reject(&mut self, retry_after: Option<Micros>) {
         if self.settled {
             return;
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Answers with the scheduler's failure, if the client still waits for an answer.
+    /// Answers with the scheduler's failure unless the request is already settled.
     pub(super) fn fail(&mut self) {
         if self.settled {
             return;
@@ -162,31 +163,31 @@
         }
     }
 
-    /// Answers with a failure of the task's own, as the scheduler has not decided in time.
+    /// Fails the request because the scheduler has not decided in time.
     pub(super) fn fail_overdue(&mut self) {
-        tracing::error!(request_id = %self.id, "no decision by the deadline");
+        tracing::error!(request_id = %self.id, "scheduler made no decision by the deadline");
         self.context.counters.decision_timeouts.increment();
         self.log_answer("failed");
         self.responder.respond(RoutedResponse::Failed);
         self.settle_without_scheduler();
     }
 
-    /// The client disconnected before it had its answer.
+    /// Records that the client disconnected before it received a final answer.
     pub(super) fn client_disconnected(&mut self) {
         tracing::debug!(request_id = %self.id, "client disconnected");
         self.context.counters.client_disconnects.increment();
         self.settle_without_scheduler();
     }
 
-    /// No answer is needed any more and the scheduler has not decided so: nothing further is sent, and the
-    /// scheduler forgets the request.
+    /// Settles the request without a decision of the scheduler: nothing more is sent, and the scheduler is
+    /// told to drop the request.
     fn settle_without_scheduler(&mut self) {
         self.settled = true;
         self.gate.close();
         self.scheduler.client_disconnected();
     }
 
-    /// Logs a final answer with what led to it, and counts one that comes too late.
+    /// Logs a final answer with the request's history, and counts a violation if it is too late.
     fn log_answer(&self, answer: &str) {
         let now = Instant::now();
         let remaining = self.deadline.saturating_duration_since(now);
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,10 +1,10 @@
-//! One request's task, from intake to its one final answer.
+//! The task of a single request, from acceptance to its final answer.
 //!
-//! - `lifecycle`: the task's state, and how it ends.
+//! - `lifecycle`: the task's state and its main loop.
 //! - `attempt`: one attempt at an endpoint, up to its first event.
-//! - `stream`: forwarding a response to the client once it has begun.
-//! - `responder`: the way back to the client.
-//! - `reservation`: what may be reserved for the request at the endpoints.
+//! - `stream`: forwarding a started response to the client.
+//! - `responder`: delivery of the final answer, and detection of a client disconnect.
+//! - `reservation`: the KV cache reserved for the request at endpoints, and its release.
 
 mod attempt;
 mod lifecycle;
@@ -19,25 +19,25 @@
 use crate::upstream::exchange::RequestPayload;
 use lifecycle::RequestTask;
 
-/// A request's payload with the allocation that it counts against.
+/// A request payload with the memory allocation that accounts for it.
 pub struct AllocatedPayload<A> {
-    /// What is sent to the endpoints.
+    /// The payload sent to endpoints.
     pub payload: RequestPayload,
-    /// The memory that the payload takes up, returned to its budget when this is dropped.
+    /// The payload's share of the memory budget, returned when this is dropped.
     pub allocation: A,
 }
 
 /// Runs one request from its acceptance to its final answer.
 ///
-/// The scheduler decides at each point of choice. Exactly one final answer goes to the responder, and when
-/// this returns, nothing is reserved or in flight any more.
+/// The scheduler makes every routing decision. The responder receives exactly one final answer, and when this
+/// function returns, nothing is reserved or in flight for the request.
 pub async fn run_request<A>(
     context: RoutingContext, spec: RequestSpec, allocated: AllocatedPayload<A>, responder: Responder,
 ) {
     let mut task = RequestTask::accept(context, spec, allocated.payload.id.clone(), responder);
     if let Some(stream) = task.run_until_stream(&allocated.payload).await {
-        // A payload is never sent again once its stream has begun, and is far larger than the events that
-        // wait for the client.
+        // A payload is never resent after its stream has started, and it is far larger than the events
+        // buffered for the client.
         drop(allocated);
         task.forward_stream(stream).await;
     }
--- a/src/request/reservation.rs
+++ b/src/request/reservation.rs
@@ -1,4 +1,4 @@
-//! What may be reserved for one request at the endpoints, and the release of it that is in progress.
+//! The KV cache reserved for one request at endpoints, and its release.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,58 +10,60 @@
 use crate::upstream::exchange::Upstream;
 use crate::upstream::release::release;
 
-/// How long (250 ms) the next prefill waits for the release of an earlier one. A release that is still in
-/// progress then is aborted, as it would free the new prefill's state when it arrives late.
+/// Longest time (250 ms) that the next prefill waits for the release of an earlier one. A release still in
+/// progress after that is aborted: if it arrived late, it would free the new prefill's KV cache.
 const RELEASE_BEFORE_PREFILL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How far (300 ms) a reservation may exceed its limit before that counts as a violation. The rules allow
-/// this much for sockets.
+/// How far (300 ms) a reservation may exceed its limit before it counts as a violation. The rules allow this
+/// much for network delays.
 const RESERVATION_LIMIT_TOLERANCE: Duration = Duration::from_millis(300);
 
-/// The KV cache state that may be reserved for one request.
+/// The KV cache that may be reserved for one request.
 ///
-/// A reservation starts when a prefill may have left state behind, and ends when a decode endpoint has
-/// fetched the state or the release of it has started. Its time counts from the end of the last attempt that
-/// had reached an endpoint, as the rules limit only the time for which state waits with no attempt in flight.
+/// A reservation starts when a prefill may have left a KV cache behind. It ends when a decode endpoint has
+/// fetched the cache or its release has started. Its duration is measured from the end of the last attempt
+/// that reached an endpoint, because the rules limit only the time for which a KV cache waits with no attempt
+/// in flight.
 pub(super) struct Reservation {
     upstream: Rc<Upstream>,
     request_id: Rc<str>,
-    /// Since when state may wait at some endpoint with no attempt in flight; none while there is none.
+    /// Since when a KV cache may have been waiting at an endpoint with no attempt in flight; `None` if there
+    /// is no reservation.
     reserved_since: Option<Instant>,
-    /// The release in progress. It may have finished.
+    /// The last release that was started. It may have completed.
     release_task: Option<JoinHandle<()>>,
 }
 
 impl Reservation {
-    /// Nothing is reserved yet.
+    /// Creates an empty reservation.
     pub(super) fn new(upstream: Rc<Upstream>, request_id: Rc<str>) -> Self {
         Reservation { upstream, request_id, reserved_since: None, release_task: None }
     }
 
-    /// Whether state may wait at some endpoint.
+    /// Returns whether a KV cache may be reserved at an endpoint.
     pub(super) fn is_held(&self) -> bool {
         self.reserved_since.is_some()
     }
 
-    /// State may wait from now on.
+    /// Starts the reservation, or restarts its time.
     pub(super) fn start(&mut self) {
         self.reserved_since = Some(Instant::now());
     }
 
-    /// An attempt has ended `elapsed` after it was sent. If it had reached its endpoint, any state waits only
-    /// from now on.
+    /// Records an attempt that ended `elapsed` after it was sent. If it reached its endpoint, the
+    /// reservation's time restarts.
     pub(super) fn attempt_finished(&mut self, outcome: Outcome, elapsed: Micros) {
         if outcome.reached_endpoint(elapsed) && self.is_held() {
             self.start();
         }
     }
 
-    /// A decode endpoint has fetched the state: nothing is reserved any more.
+    /// Ends the reservation after a decode endpoint has fetched the KV cache.
     pub(super) fn transferred(&mut self) {
         self.reserved_since = None;
     }
 
-    /// Starts to release whatever is reserved, without waiting for it.
+    /// Starts to release the reservation, if there is one, without waiting for completion.
     pub(super) fn release(&mut self) {
         let Some(reserved_since) = self.reserved_since.take() else { return };
         if !self.upstream.has_reservations() {
@@ -73,10 +75,10 @@
         self.release_task = Some(spawn_local(released));
     }
 
-    /// Releases whatever an earlier prefill has reserved, and waits for it.
+    /// Releases the reservation of an earlier prefill and waits for completion.
     ///
-    /// A `DELETE` frees everything that the request has reserved, so one that arrives late would free the new
-    /// prefill's state. When this returns, the release is complete or its connection is closed.
+    /// A `DELETE` frees everything reserved for the request, so one that arrived late would free the new
+    /// prefill's KV cache. When this returns, the release is complete or its connection is closed.
     pub(super) async fn release_before_prefill(&mut self) {
         self.release();
         let Some(release_task) = &mut self.release_task else { return };
@@ -87,7 +89,7 @@
         self.release_task = None;
     }
 
-    /// Releases whatever is still reserved and waits for it, however the request ended.
+    /// Releases the reservation, if there is one, and waits for completion, however the request ended.
     pub(super) async fn finish(mut self) {
         self.release();
         if let Some(release_task) = self.release_task.take() {
@@ -96,7 +98,7 @@
     }
 }
 
-/// Releases a reservation and counts one that lasted longer than the limit.
+/// Releases a reservation and counts a violation if it exceeded the limit.
 async fn release_and_check_limit(upstream: Rc<Upstream>, request_id: Rc<str>, reserved_since: Instant) {
     release(upstream.clone(), request_id.clone()).await;
     let reserved = reserved_since.elapsed();
--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -1,4 +1,4 @@
-//! Forwarding a response that has begun, event by event, as the bytes that came.
+//! Forwards a started response to the client, event by event and without changing its bytes.
 
 use tokio::sync::mpsc;
 
@@ -9,25 +9,25 @@
 use crate::scheduler_handle::{RequestCommand, RequestHandle};
 use crate::upstream::event_stream::{EventStream, StreamBroken, StreamChunk};
 
-/// How many chunks of a stream wait for a slow client. Past them its endpoint's connection is not read, so
-/// that the endpoint is slowed down rather than this process filled.
+/// Number of chunks buffered for a slow client. When the buffer is full, the endpoint's connection is not
+/// read, so back-pressure reaches the endpoint and the router's memory use stays bounded.
 const MAX_WAITING_CHUNKS: usize = 4;
 
-/// How forwarding a stream ended.
+/// How the forwarding of a stream ended.
 enum Forwarded {
     /// The stream is complete.
     Complete,
     /// The stream broke.
     Broken(StreamBroken),
-    /// The stream ended with an error event of its own.
+    /// The stream ended with an error event from the endpoint.
     ReportedError,
     /// The client disconnected.
     ClientDisconnected,
 }
 
 impl RequestTask {
-    /// Forwards a stream to its end. It is this client's alone from its first event on, and no deadline
-    /// applies to it any more.
+    /// Forwards a stream to its end. After the first event the request can no longer move to another
+    /// endpoint, and no deadline applies.
     pub(super) async fn forward_stream(&mut self, stream: StartedStream) {
         let StartedStream { events, attempt } = stream;
         self.reservation.transferred();
@@ -38,7 +38,7 @@
         self.finish_attempt(&attempt, outcome.into());
     }
 
-    /// Reports the first token of a stream; a single response shows nothing of the time to its first token.
+    /// Reports the time to first token to the scheduler. A unary response does not reveal it.
     fn report_first_token(&self, attempt: &Attempt) {
         if self.unary {
             return;
@@ -53,8 +53,8 @@
         self.scheduler.first_token(attempt.id, attempt.send.endpoint, elapsed);
     }
 
-    /// Answers with the stream and forwards it, until it ends or the scheduler migrates it. When this
-    /// returns, the stream is closed at both ends.
+    /// Answers with the stream and forwards it until it ends or the scheduler migrates it. When this returns,
+    /// the stream is closed on both sides.
     async fn forward_to_client(&mut self, mut events: Box<EventStream>) -> Forwarded {
         let (client, chunks) = mpsc::channel(MAX_WAITING_CHUNKS);
         let kind = events.kind().clone();
@@ -69,12 +69,12 @@
                 Forwarded::Broken(StreamBroken::Cut)
             }
         };
-        // The endpoint's side closes first.
+        // Close the endpoint's side first.
         drop(events);
         forwarded
     }
 
-    /// Counts how a stream ended, and says what that means for its attempt.
+    /// Counts how a stream ended and returns the outcome of its attempt.
     fn count_stream(&mut self, forwarded: &Forwarded) -> Outcome {
         match forwarded {
             Forwarded::Complete => {
@@ -116,7 +116,8 @@
                 }
             }
             Some(Err(broken)) => {
-                // A full channel means a slow client: the break waits its turn, but not the disconnect.
+                // If the channel is full because the client is slow, the error waits for capacity, but a
+                // client disconnect still ends the wait.
                 if client.send(Err(broken)).await.is_err() {
                     return Forwarded::ClientDisconnected;
                 }
@@ -133,7 +134,7 @@
     loop {
         match scheduler.next_command().await {
             RequestCommand::Migrate => return,
-            // Without a scheduler the process is ending; the stream goes on until then.
+            // The scheduler is gone, so the process is exiting. The stream continues until then.
             RequestCommand::Fail => std::future::pending().await,
             RequestCommand::Send(_)
             | RequestCommand::Cancel(_)
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one endpoint, and its response read up to the first event.
+//! Runs one attempt: sends a request to one endpoint and reads the response up to its first event.
 
 use hyper::body::Incoming;
 use hyper::client::conn::TrySendError;
@@ -20,8 +20,8 @@
 use crate::upstream::write_progress::{TrackedBody, WriteProgress};
 
 impl Upstream {
-    /// Sends the request to an endpoint and waits, within the deadlines, for what it comes to. Dropping the
-    /// future abandons the attempt: its connection closes.
+    /// Sends the request to an endpoint and waits, within the deadlines, for the attempt's result. Dropping
+    /// the future abandons the attempt and closes its connection.
     pub async fn run_attempt(
         &self, endpoint: EndpointId, payload: &RequestPayload, deadlines: AttemptDeadlines, gate: &SendGate,
     ) -> FirstResponse {
@@ -41,14 +41,14 @@
     }
 }
 
-/// One attempt at one endpoint.
+/// An attempt at an endpoint.
 struct AttemptRun<'a> {
     upstream: &'a Upstream,
     endpoint: EndpointId,
     payload: &'a RequestPayload,
     deadlines: AttemptDeadlines,
     gate: &'a SendGate,
-    /// How far the request is written on the present connection; none while there is no connection.
+    /// How much of the request has been written to the current connection; `None` if there is no connection.
     write_progress: Option<WriteProgress>,
 }
 
@@ -59,9 +59,9 @@
     in_flight: AttemptInFlight,
 }
 
-/// Why a request that was admitted has no response.
+/// Why an admitted request received no response.
 enum SendFailure {
-    /// The reused connection had just closed and nothing of the request was written to it.
+    /// The reused connection had been closed, and no part of the request was written to it.
     ClosedBeforeUse,
     /// The attempt has ended.
     Finished(Outcome),
@@ -75,7 +75,8 @@
         }
     }
 
-    /// What an attempt comes to whose time ran out: only a request that was written may have run.
+    /// Returns the outcome of an attempt that timed out. The request can only have been executed if it was
+    /// written.
     fn timeout_outcome(&self) -> Outcome {
         if self.write_progress.as_ref().is_some_and(WriteProgress::is_flushed) {
             Outcome::TimedOut
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Sends the request and waits for the head of the response. Nothing is ever sent twice: another
-    /// connection is used only when nothing was written to the one before.
+    /// Sends the request and waits for the response head. A request is never sent twice: another connection
+    /// is tried only if nothing was written to the previous one.
     async fn send(&mut self) -> Result<Exchange, Outcome> {
         loop {
             self.write_progress = None;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// A connection for the attempt, waited for no longer than the attempt may begin.
+    /// Returns a connection for the attempt, waiting no longer than the attempt's start deadline.
     async fn connect(&self) -> Result<Connection, Outcome> {
         let connection = match self.deadlines.start_deadline {
             Some(start_deadline) => {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The last check before the first byte.
+    /// Asks the send gate for permission immediately before the first byte is written.
     fn admit(&self) -> Result<AttemptInFlight, Outcome> {
         let address = self.upstream.pool().address(self.endpoint);
         self.gate.admit(address.as_ref(), &self.deadlines).map_err(|denied| {
@@ -170,7 +171,7 @@
         request
     }
 
-    /// Reads the response as far as its kind asks for. The attempt counts as in flight until then.
+    /// Reads as much of the response as its class requires. The attempt counts as in flight until then.
     async fn receive(&self, exchange: Exchange) -> FirstResponse {
         let Exchange { connection, response, in_flight: _in_flight } = exchange;
         let (head, body) = response.into_parts();
@@ -193,7 +194,8 @@
     ) -> AttemptResponse {
         let kind = ContentKind::of(head.status, &head.headers);
         let format = match self.upstream.protocol() {
-            // The platform's endpoints stream events; a response that does not was not made for this request.
+            // The platform's endpoints always stream events, so any other content is not a response to this
+            // request.
             UpstreamProtocol::Platform if !kind.is_event_stream() => {
                 return AttemptResponse::Finished(Outcome::Malformed);
             }
@@ -209,8 +211,8 @@
         }
     }
 
-    /// Reads the body of a 202: by it a prefill endpoint says that the prompt is prefilled. What the head
-    /// reported is void if the body does not come.
+    /// Reads the body of a 202 response, with which a prefill endpoint confirms that the prompt is prefilled.
+    /// If the body is incomplete, the load report in the head is ignored as well.
     async fn read_accepted(
         &self, connection: Connection, body: Incoming, load_report: Option<LoadReport>,
     ) -> FirstResponse {
@@ -225,7 +227,7 @@
         FirstResponse { response, load_report }
     }
 
-    /// Reads a body of which nothing is needed, so that its connection can be used again.
+    /// Reads and discards a body so that its connection can be reused.
     async fn discard_body(&self, connection: Connection, body: Incoming) {
         let read = timeout(FAILURE_BODY_TIMEOUT, read_body(body)).await;
         if matches!(read, Ok(Some(_))) {
@@ -234,8 +236,9 @@
     }
 }
 
-/// hyper gives back a request of which it has written nothing. Only then, and only on a reused connection,
-/// which its endpoint may have closed meanwhile, may the request go over another one.
+/// Classifies an error of sending a request. hyper returns the request if it has written no part of it. Only
+/// then, and only on a reused connection, which the endpoint may have closed while it was idle, may the
+/// request be sent over another connection.
 fn send_failure(
     mut error: TrySendError<Request<TrackedBody>>, is_flushed: bool, is_reused: bool,
 ) -> SendFailure {
--- a/src/upstream/connect.rs
+++ b/src/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Opening a connection to an endpoint, and the connection itself.
+//! A connection to an endpoint, and how it is opened.
 
 use std::cell::Cell;
 use std::io;
@@ -15,33 +15,33 @@
 
 use crate::upstream::write_progress::{TrackedBody, TrackedStream, WriteProgress};
 
-/// Largest read buffer of a connection, in bytes; events are far smaller. Together with the chunks that wait
-/// for a slow client it bounds what one stream may occupy.
+/// Maximum size of a connection's read buffer, in bytes; events are far smaller. Together with the chunks
+/// buffered for a slow client, it bounds the memory of a stream.
 const MAX_READ_BUFFER: usize = 16 * 1024;
 
-/// Pause before another try of a connection that this machine failed to open, such as for want of a socket:
-/// short against any deadline, long enough not to spin.
+/// Delay before retrying a connection that failed for a local reason, such as no free socket. Short compared
+/// with every deadline, and long enough to avoid a busy loop.
 const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// The endpoint refused it, or it did not come up in time.
-    #[error("the endpoint cannot be reached")]
+    /// The endpoint refused the connection or did not accept it in time.
+    #[error("the endpoint is unreachable")]
     Endpoint,
-    /// This machine could not make it: it has no socket, no room or no route for it. The endpoint is not to
-    /// blame.
-    #[error("this machine cannot open a connection")]
+    /// This machine could not open the connection because it has no free socket, no capacity or no route. The
+    /// endpoint is not at fault.
+    #[error("this machine cannot open the connection")]
     Local,
 }
 
-/// Opens a socket to an endpoint; a failure of this machine is taken to be momentary, and retried.
+/// Opens a socket to an endpoint. Local failures are assumed to be transient and are retried.
 ///
-/// `timeout_cause` always holds what a timeout would have to be blamed on at that moment.
+/// `timeout_cause` always holds the error that a timeout at that moment should be attributed to.
 ///
 /// # Errors
 ///
-/// [`ConnectError::Endpoint`] when the endpoint refuses the connection or cannot be reached.
+/// [`ConnectError::Endpoint`] if the endpoint refuses the connection or is unreachable.
 pub(super) async fn connect(
     addr: SocketAddr, timeout_cause: &Cell<ConnectError>,
 ) -> Result<TcpStream, ConnectError> {
@@ -51,7 +51,7 @@
             Ok(socket) => return Ok(socket),
             Err(error) if is_caused_by_endpoint(&error) => return Err(ConnectError::Endpoint),
             Err(error) => {
-                tracing::debug!(address = %addr, %error, "cannot open a connection from this machine");
+                tracing::debug!(address = %addr, %error, "local failure to open a connection; retrying");
                 timeout_cause.set(ConnectError::Local);
                 sleep(LOCAL_RETRY_DELAY).await;
             }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Whether a connect failed by a reply, or the want of one, from the other side.
+/// Returns whether a connect error was caused by the endpoint's response, or by its lack of one.
 fn is_caused_by_endpoint(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionAborted, ConnectionRefused, ConnectionReset, HostUnreachable, TimedOut};
     matches!(
@@ -68,7 +68,8 @@
     )
 }
 
-/// One HTTP/1 connection to an endpoint, for one request at a time. Dropping it closes the socket at once.
+/// An HTTP/1 connection to an endpoint that carries one request at a time. Dropping it closes the socket
+/// immediately.
 pub struct Connection {
     sender: SendRequest<TrackedBody>,
     progress: WriteProgress,
@@ -83,12 +84,12 @@
 }
 
 impl Connection {
-    /// Sets up HTTP on a new socket. The task that drives the connection holds `permit` for as long as it is
-    /// open.
+    /// Performs the HTTP handshake on a new socket. The task that drives the connection holds `permit` while
+    /// the connection is open.
     ///
     /// # Errors
     ///
-    /// [`ConnectError::Endpoint`] when the HTTP handshake fails.
+    /// [`ConnectError::Endpoint`] if the HTTP handshake fails.
     pub(super) async fn handshake(
         socket: TcpStream, permit: OwnedSemaphorePermit,
     ) -> Result<Self, ConnectError> {
@@ -99,35 +100,35 @@
         let (sender, connection) = handshake.map_err(|_| ConnectError::Endpoint)?;
         let driver = tokio::task::spawn_local(async move {
             let _permit = permit;
-            // How it ended shows at the request that used it.
+            // An error is reported to the request that used the connection.
             let _ = connection.await;
         });
         Ok(Connection { sender, progress, driver: driver.abort_handle(), reused: false })
     }
 
-    /// A body for the next request on this connection.
+    /// Creates the body of the next request on this connection.
     pub fn body(&self, data: Bytes) -> TrackedBody {
         TrackedBody::new(data, self.progress.clone())
     }
 
-    /// The sending half.
+    /// Returns the request sender.
     pub fn sender(&mut self) -> &mut SendRequest<TrackedBody> {
         &mut self.sender
     }
 
-    /// Whether the connection has served a request before the present one. The endpoint may have closed it
-    /// since.
+    /// Returns whether the connection carried another request before the current one. The endpoint may have
+    /// closed it since.
     pub fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Whether the connection is known to be closed.
+    /// Returns whether the connection is known to be closed.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Prepares an idle connection for another request; false when the endpoint has closed it, which its
-    /// driver knows at once.
+    /// Prepares an idle connection for another request. Returns `false` if the endpoint has closed it, which
+    /// the connection's driver detects immediately.
     pub(super) async fn reuse(&mut self) -> bool {
         self.reused = true;
         self.sender.ready().await.is_ok()
--- a/src/upstream/connection_pool.rs
+++ b/src/upstream/connection_pool.rs
@@ -1,4 +1,5 @@
-//! The connections to one fleet: opened as needed, one request at a time on each, reused for a short time.
+//! The connections to one fleet of endpoints: opened on demand, used for one request at a time, and reused
+//! while briefly idle.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -16,47 +17,47 @@
 use crate::upstream::connect::{ConnectError, Connection, connect};
 use crate::upstream::idle_connections::IdleConnections;
 
-/// Longest time for which an idle connection is kept, whatever the settings say. Endpoints have been seen to
-/// close theirs after 4 s where the settings say 30 s, and a request that crosses the close ends as a reset.
+/// Upper limit for the configured idle timeout. Endpoints have been observed to close connections after 4 s
+/// with a configured 30 s, and a request that crosses such a close fails with a reset.
 const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time since the last response on a connection for which it counts as verified to reach its
-/// endpoint. Machines vanish without closing their connections, and what is sent to them then does not
-/// arrive.
+/// Longest time since the last response on a connection for which the connection counts as verified. A
+/// machine can fail without closing its connections, and requests sent on them are lost.
 const MAX_VERIFIED_IDLE: Duration = Duration::from_millis(250);
 
-/// Idle connections are checked so many times within the idle timeout, so they outlive it by an eighth at
-/// most.
+/// Number of checks of idle connections per idle timeout. Connections exceed the timeout by at most an
+/// eighth.
 const EVICTIONS_PER_IDLE_TIMEOUT: u32 = 8;
 
-/// What the pool may use.
+/// The pool's limits.
 #[derive(Clone, Debug)]
 pub struct PoolLimits {
-    /// Longest time for a connection to come up, and for the wait for room to open it.
+    /// Maximum time to open a connection, including the wait for a permit.
     pub connect_timeout: Duration,
-    /// Longest time for which a connection may be idle and still be used again: the endpoint is about to
-    /// close it.
+    /// Maximum time for which a connection may be idle and still be reused. The endpoint is about to close it
+    /// after that.
     pub idle_timeout: Duration,
-    /// Most connections at once, to all endpoints together.
+    /// Maximum number of open connections to all endpoints together.
     pub max_connections: usize,
 }
 
-/// Where an endpoint listens and what it does.
+/// An endpoint's address, role and readiness.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointAddress {
-    /// Its address.
+    /// The socket address.
     pub addr: SocketAddr,
-    /// What it does.
+    /// The role.
     pub role: Role,
-    /// Whether it may be sent new work.
+    /// Whether new requests may be sent to the endpoint.
     pub ready: bool,
 }
 
-/// What the pool has of one endpoint.
+/// The pool's state for one endpoint.
 struct PooledEndpoint {
     address: EndpointAddress,
     idle: IdleConnections,
-    /// When a connection to the endpoint was last put back; none while it is doubtful that the endpoint responds.
+    /// When a connection to the endpoint was last returned to the pool; `None` if it is uncertain whether the
+    /// endpoint responds.
     last_response_at: Option<Instant>,
 }
 
@@ -65,7 +66,7 @@
         PooledEndpoint { address, idle: IdleConnections::default(), last_response_at: None }
     }
 
-    /// Replaces the address. Idle connections to another socket address are of no use.
+    /// Replaces the address. Idle connections to a different socket address are closed.
     fn set_address(&mut self, address: EndpointAddress) {
         if self.address.addr != address.addr {
             self.idle.close_all();
@@ -74,7 +75,7 @@
     }
 }
 
-/// All connections to one fleet.
+/// All connections to one fleet of endpoints.
 pub struct ConnectionPool {
     by_endpoint: RefCell<BTreeMap<EndpointId, PooledEndpoint>>,
     limits: PoolLimits,
@@ -84,15 +85,14 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(mut limits: PoolLimits, counters: Rc<Counters>) -> Self {
         limits.idle_timeout = limits.idle_timeout.min(MAX_IDLE_TIMEOUT);
         let permits = Arc::new(Semaphore::new(limits.max_connections));
         ConnectionPool { by_endpoint: RefCell::default(), limits, permits, counters }
     }
 
-    /// Records where an endpoint listens, or with `None` that it is removed, which closes its idle
-    /// connections.
+    /// Sets an endpoint's address. `None` removes the endpoint and closes its idle connections.
     pub fn set_address(&self, endpoint: EndpointId, address: Option<EndpointAddress>) {
         let mut by_endpoint = self.by_endpoint.borrow_mut();
         let Some(address) = address else {
@@ -106,19 +106,19 @@
         }
     }
 
-    /// Where an endpoint listens, if it is known.
+    /// Returns an endpoint's address, if the endpoint is known.
     pub fn address(&self, endpoint: EndpointId) -> Option<EndpointAddress> {
         let by_endpoint = self.by_endpoint.borrow();
         by_endpoint.get(&endpoint).map(|known| known.address.clone())
     }
 
-    /// The known endpoints, in the order of their ids.
+    /// Returns all known endpoints, ordered by id.
     pub fn endpoints(&self) -> Vec<EndpointId> {
         self.by_endpoint.borrow().keys().copied().collect()
     }
 
-    /// The ready endpoints, the likeliest to respond first: those with an idle connection before those
-    /// without, and among them the latest response first.
+    /// Returns the ready endpoints, most likely to respond first: endpoints with an idle connection precede
+    /// those without, and within each group the most recent response comes first.
     pub fn by_reachability(&self) -> Vec<EndpointId> {
         let by_endpoint = self.by_endpoint.borrow();
         let mut ready: Vec<_> = by_endpoint.iter().filter(|(_, known)| known.address.ready).collect();
@@ -126,22 +126,22 @@
         ready.into_iter().map(|(endpoint, _)| *endpoint).collect()
     }
 
-    /// A connection to the endpoint: an idle one that is still open, else a new one.
+    /// Returns a connection to the endpoint: an idle one that is still open, or else a new one.
     ///
     /// # Errors
     ///
-    /// Says whether the endpoint or this machine is to blame when no connection is there within the connect
-    /// timeout.
+    /// Indicates whether the endpoint or this machine is the cause if no connection is available within the
+    /// connect timeout.
     pub async fn connection(&self, endpoint: EndpointId) -> Result<Connection, ConnectError> {
         self.connection_idle_for_at_most(endpoint, self.limits.idle_timeout).await
     }
 
-    /// A connection on which what is sent arrives, as far as can be known: one with a response a moment ago,
-    /// else a new one, whose handshake is a response too.
+    /// Returns a connection that is known to reach the endpoint: one with a very recent response, or else a
+    /// new one, which the TCP handshake has verified.
     ///
     /// # Errors
     ///
-    /// As for [`connection`](Self::connection).
+    /// The same as for [`connection`](Self::connection).
     pub async fn verified_connection(&self, endpoint: EndpointId) -> Result<Connection, ConnectError> {
         self.connection_idle_for_at_most(endpoint, MAX_VERIFIED_IDLE).await
     }
@@ -178,7 +178,8 @@
         Ok(connection)
     }
 
-    /// A permit for one more connection, freed by closing the connection that is idle longest if need be.
+    /// Returns a permit for one more connection. At the limit, the connection that has been idle longest is
+    /// closed to free one.
     async fn permit(&self) -> Result<OwnedSemaphorePermit, ConnectError> {
         if let Ok(permit) = self.permits.clone().try_acquire_owned() {
             return Ok(permit);
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Keeps a connection for reuse on which an exchange has ended completely, or on which none was begun.
+    /// Returns a connection to the pool after a complete exchange, or if no exchange was started on it.
     pub fn put_back(&self, endpoint: EndpointId, connection: Connection) {
         let mut by_endpoint = self.by_endpoint.borrow_mut();
         let Some(known) = by_endpoint.get_mut(&endpoint) else { return };
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Closes the idle connections to an endpoint and forgets its last response: a connection to it failed or
-    /// went silent, and these may be dead as well.
+    /// Closes the idle connections to an endpoint and discards the time of its last response. Called when a
+    /// connection to it failed or stopped responding, as the idle ones may be dead too.
     pub fn invalidate(&self, endpoint: EndpointId) {
         if let Some(known) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
             known.idle.close_all();
@@ -220,8 +221,8 @@
         }
     }
 
-    /// [Invalidates](Self::invalidate) an endpoint of which one connection has been silent since
-    /// `silent_since`, unless another connection to it was put back since.
+    /// [Invalidates](Self::invalidate) an endpoint after one of its connections has been silent since
+    /// `silent_since`, unless another connection to it was returned to the pool since then.
     pub fn invalidate_if_unheard_since(&self, endpoint: EndpointId, silent_since: Instant) {
         let last_response_at =
             self.by_endpoint.borrow().get(&endpoint).and_then(|known| known.last_response_at);
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Closes, for ever, what has been idle for too long.
+    /// Closes idle connections that have exceeded the idle timeout, in an endless loop.
     pub async fn run_idle_eviction(&self) {
         loop {
             sleep(self.limits.idle_timeout / EVICTIONS_PER_IDLE_TIMEOUT).await;
--- a/src/upstream/control_call.rs
+++ b/src/upstream/control_call.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints that carry no request of a client: health checks and releases.
+//! Calls to endpoints other than client requests: health checks and releases of reservations.
 
 use std::time::Duration;
 
@@ -12,29 +12,29 @@
 use crate::upstream::request_head;
 use crate::upstream::response::read_body;
 
-/// Longest time for an endpoint to respond to a health check.
+/// Maximum time for an endpoint to respond to a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The path at which endpoints report their load.
+/// Path of an endpoint's load report.
 const HEALTH_CHECK_PATH: &str = "/-/load";
 
-/// How a health check ended.
+/// The result of a health check.
 pub struct HealthCheckResult {
-    /// [`Outcome::Completed`] when the endpoint is well.
+    /// [`Outcome::Completed`] if the endpoint is healthy.
     pub outcome: Outcome,
-    /// The endpoint's load, if it is well and reports it.
+    /// The endpoint's load, if the endpoint is healthy and reports it.
     pub load_report: Option<LoadReport>,
 }
 
 impl Upstream {
-    /// Releases all that is reserved for the request, by way of one endpoint; whether that endpoint accepted
-    /// the call.
+    /// Sends a `DELETE` to one endpoint, which releases everything reserved for the request at any endpoint.
+    /// Returns whether this endpoint accepted the call.
     pub async fn release_at(&self, endpoint: EndpointId, request_id: &str) -> bool {
         let response = self.call(endpoint, Method::DELETE, &format!("/kv/leases/{request_id}")).await;
         response.is_some_and(|response| response.status().is_success())
     }
 
-    /// Checks whether an endpoint responds, and reads its load.
+    /// Checks whether an endpoint responds, and reads its load report.
     pub async fn health_check(&self, endpoint: EndpointId) -> HealthCheckResult {
         self.counters().health_checks.increment();
         let call = self.call(endpoint, Method::GET, HEALTH_CHECK_PATH);
@@ -50,7 +50,7 @@
         HealthCheckResult { outcome, load_report: None }
     }
 
-    /// Makes a call without a body; gives the response with its body, or none if it did not come.
+    /// Sends a request without a body. Returns the complete response, or `None` if it was not received.
     async fn call(&self, endpoint: EndpointId, method: Method, path: &str) -> Option<Response<Bytes>> {
         let mut connection = self.pool().connection(endpoint).await.ok()?;
         let no_body = connection.body(Bytes::new());
--- a/src/upstream/event_framer.rs
+++ b/src/upstream/event_framer.rs
@@ -1,49 +1,50 @@
-//! Cuts a stream into complete events, and finds the events that end it or report an error.
+//! Splits a stream into complete events, and detects events that end the stream or report an error.
 
 use bytes::{Bytes, BytesMut};
 use serde::Deserialize;
 
-/// Largest event, in bytes; what goes on for longer without an end is not an event.
+/// Maximum size of an event, in bytes. A longer sequence without an event boundary is malformed.
 const MAX_EVENT_SIZE: usize = 64 * 1024;
 
-/// The data of the event that ends a stream of chat completions.
+/// Data of the event that ends a chat completions stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// What the events of a stream say of the stream.
+/// How events are interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EventFormat {
-    /// Nothing: the end of the body ends the stream.
+    /// Events are not interpreted: the stream ends with the body.
     Opaque,
-    /// As public chat completions: `[DONE]` ends the stream, and an object with `error` reports an error.
+    /// Chat completions: `[DONE]` ends the stream, and an object with an `error` field reports an error.
     ChatCompletions,
 }
 
-/// What came is not a stream of events.
+/// The stream contains data that is not an event.
 #[derive(Debug, thiserror::Error)]
-#[error("the stream holds what is no event")]
+#[error("the stream contains data that is not an event")]
 pub(super) struct MalformedEvents;
 
-/// Cuts a stream into complete events, however its transport has cut it; the bytes stay as they came.
+/// Splits a stream into complete events regardless of the transport's chunk boundaries. The bytes are not
+/// changed.
 pub(super) struct EventFramer {
     format: EventFormat,
-    /// The beginning of an event whose end has not come.
+    /// The start of an event whose end has not been received.
     incomplete: BytesMut,
     done: bool,
     reported_error: bool,
 }
 
 impl EventFramer {
-    /// A framer at the beginning of a stream.
+    /// Creates a framer for a new stream.
     pub(super) fn new(format: EventFormat) -> Self {
         EventFramer { format, incomplete: BytesMut::new(), done: false, reported_error: false }
     }
 
-    /// Whether an event reported an error.
+    /// Returns whether an event reported an error.
     pub(super) fn reported_error(&self) -> bool {
         self.reported_error
     }
 
-    /// Takes bytes in and gives all events that are complete now; nothing while there are none.
+    /// Adds received bytes and returns all events that are now complete. The result may be empty.
     pub(super) fn push(&mut self, bytes: Bytes) -> Result<Bytes, MalformedEvents> {
         if self.incomplete.is_empty() && complete_length(&bytes) == bytes.len() {
             self.check_events(&bytes)?;
@@ -56,12 +57,13 @@
         Ok(complete)
     }
 
-    /// What came behind the last complete event of a stream that has ended.
+    /// Removes and returns the bytes after the last complete event. Called at the end of the stream.
     pub(super) fn take_remainder(&mut self) -> Bytes {
         self.incomplete.split().freeze()
     }
 
-    /// Whether a stream that ends here is complete. The last event need not be closed by an empty line.
+    /// Returns whether a stream that ends here is complete. The last event need not be followed by an empty
+    /// line.
     pub(super) fn ends_complete(&mut self) -> bool {
         match self.format {
             EventFormat::Opaque => true,
@@ -84,7 +86,7 @@
         Ok(())
     }
 
-    /// Rejects noise at once, rather than when it has filled an event.
+    /// Rejects malformed data as soon as it arrives instead of waiting for the maximum event size.
     fn check_incomplete(&self) -> Result<(), MalformedEvents> {
         let is_too_long = self.incomplete.len() > MAX_EVENT_SIZE;
         if !may_become_utf8(&self.incomplete) || self.incomplete.iter().any(is_control) || is_too_long {
@@ -110,14 +112,14 @@
     }
 }
 
-/// How many of the bytes are complete events: up to and with the last empty line.
+/// Returns the length of the complete events in `bytes`, up to and including the last empty line.
 fn complete_length(bytes: &[u8]) -> usize {
     let ends_in_empty_line =
         |at: &usize| matches!(bytes[..=*at], [.., b'\n', b'\n'] | [.., b'\n', b'\r', b'\n']);
     (0..bytes.len()).rev().find(ends_in_empty_line).map_or(0, |at| at + 1)
 }
 
-/// Whether the bytes are UTF-8, but for a last character that may be incomplete.
+/// Returns whether the bytes are valid UTF-8, except that the last character may be incomplete.
 fn may_become_utf8(bytes: &[u8]) -> bool {
     match std::str::from_utf8(bytes) {
         Ok(_) => true,
@@ -129,7 +131,7 @@
     byte.is_ascii_control() && !matches!(byte, b'\n' | b'\r' | b'\t')
 }
 
-/// Whether an event's data is an object with an `error` that is not null.
+/// Returns whether an event's data is an object with a non-null `error` field.
 fn is_error(data: &[u8]) -> bool {
     #[derive(Deserialize)]
     struct MaybeError {
--- a/src/upstream/event_stream.rs
+++ b/src/upstream/event_stream.rs
@@ -1,4 +1,4 @@
-//! A response that streams from an endpoint: passed on in complete events, and failing visibly when it breaks.
+//! A streaming response from an endpoint: yields complete events, and reports an error if the stream breaks.
 
 use std::error::Error;
 use std::io;
@@ -17,29 +17,29 @@
 use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::event_framer::{EventFormat, EventFramer, MalformedEvents};
 
-/// Longest time without an event on a running stream, after which its endpoint counts as dead. It is below
-/// the 5 s for which clients may be left without an event.
+/// Maximum time without an event on a running stream before its endpoint counts as dead. Lower than the 5 s
+/// for which clients may be left without an event.
 const MAX_SILENCE: Duration = Duration::from_millis(4_300);
 
-/// The content type of a stream of events, without parameters.
+/// Media type of an event stream, without parameters.
 const EVENT_STREAM_TYPE: &[u8] = b"text/event-stream";
 
-/// What an endpoint says that its response is; carried to the client without a look inside.
+/// The status and content type of an endpoint's response, passed to the client unchanged.
 #[derive(Clone, Debug)]
 pub struct ContentKind {
     /// The status.
     pub status: StatusCode,
-    /// The type of content.
+    /// The content type.
     pub content_type: Option<HeaderValue>,
 }
 
 impl ContentKind {
-    /// The kind that a response's head gives.
+    /// Extracts the status and content type from a response head.
     pub(super) fn of(status: StatusCode, headers: &HeaderMap) -> Self {
         ContentKind { status, content_type: headers.get(CONTENT_TYPE).cloned() }
     }
 
-    /// Whether the response is a stream of events.
+    /// Returns whether the response is an event stream.
     pub fn is_event_stream(&self) -> bool {
         let Some(content_type) = &self.content_type else { return false };
         let media_type = content_type.as_bytes().get(..EVENT_STREAM_TYPE.len());
@@ -47,46 +47,46 @@
     }
 }
 
-/// Where a stream comes from.
+/// The source of a stream.
 pub(super) struct StreamSource {
-    /// Takes the connection back when the stream has ended completely.
+    /// Receives the connection when the stream is complete.
     pub(super) pool: Rc<ConnectionPool>,
     pub(super) endpoint: EndpointId,
     pub(super) connection: Connection,
     pub(super) body: Incoming,
 }
 
-/// The stream ended before it was complete; the client's connection must show it.
+/// The stream ended before it was complete. The client must be able to detect this on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamBroken {
-    /// It was cut off, or went silent.
-    #[error("the stream was cut off")]
+    /// The connection was lost or the endpoint stopped sending.
+    #[error("the stream was interrupted before its end")]
     Cut,
-    /// It went on with what is no event stream.
-    #[error("the stream was malformed")]
+    /// The endpoint sent data that is not a valid event stream.
+    #[error("the stream contains malformed data")]
     Malformed,
 }
 
-/// A piece of a stream, or that it broke.
+/// A chunk of a stream, or the error that ended the stream.
 pub type StreamChunk = Result<Bytes, StreamBroken>;
 
-/// A response that streams from an endpoint. Dropping it closes the connection.
+/// A streaming response from an endpoint. Dropping it closes the connection.
 pub struct EventStream {
     pool: Rc<ConnectionPool>,
     endpoint: EndpointId,
-    /// None once the stream has ended completely or broken.
+    /// `None` once the stream is complete or broken.
     connection: Option<Connection>,
     body: Incoming,
     kind: ContentKind,
-    /// Events that were read and have not been taken.
+    /// Events that were read while waiting for the first event and have not been returned yet.
     first_events: Option<Bytes>,
-    /// None for a response that is no stream of events: its bytes are passed on as they come.
+    /// `None` if the response is not an event stream. Its bytes are then forwarded as they arrive.
     framer: Option<EventFramer>,
     ended: bool,
 }
 
 impl EventStream {
-    /// A response whose head has come.
+    /// Creates a stream for a response whose head has been received.
     pub(super) fn new(source: StreamSource, kind: ContentKind, format: EventFormat) -> Self {
         let framer = if kind.is_event_stream() { Some(EventFramer::new(format)) } else { None };
         EventStream {
@@ -101,12 +101,12 @@
         }
     }
 
-    /// Waits for the first event. A response that breaks, ends, is malformed or reports an error before it
-    /// has not begun.
+    /// Waits for the first event. A response that breaks, ends, is malformed or reports an error before that
+    /// does not count as started.
     ///
     /// # Errors
     ///
-    /// The outcome of the attempt whose stream did not begin.
+    /// The outcome of the attempt if the stream did not start.
     pub async fn wait_for_first_event(&mut self) -> Result<(), Outcome> {
         let first = self.read().await;
         if self.reported_error() {
@@ -122,17 +122,17 @@
         }
     }
 
-    /// What the endpoint says that the response is.
+    /// Returns the response's status and content type.
     pub fn kind(&self) -> &ContentKind {
         &self.kind
     }
 
-    /// Whether an event reported an error.
+    /// Returns whether an event reported an error.
     pub fn reported_error(&self) -> bool {
         self.framer.as_ref().is_some_and(EventFramer::reported_error)
     }
 
-    /// The next complete events as they came; none after the end of a complete stream.
+    /// Returns the next complete events, unchanged, or `None` after the end of a complete stream.
     pub async fn next_events(&mut self) -> Option<StreamChunk> {
         match self.first_events.take() {
             Some(events) => Some(Ok(events)),
@@ -144,7 +144,8 @@
         if self.ended {
             return None;
         }
-        // Silence counts from here: while a client is slow to read, nobody reads from the endpoint.
+        // Silence is measured from here, because the endpoint's connection is not read while the client is
+        // slow.
         let deadline = Instant::now() + MAX_SILENCE;
         loop {
             let frame = match timeout_at(deadline, self.body.frame()).await {
@@ -153,7 +154,7 @@
                 Ok(None) => return self.end_of_body(),
                 Err(_elapsed) => return self.silent(),
             };
-            // Trailers carry nothing that is passed on.
+            // Trailers are not forwarded.
             let Ok(data) = frame.into_data() else { continue };
             match self.complete_events(data) {
                 Ok(events) if events.is_empty() => {}
@@ -170,7 +171,7 @@
         }
     }
 
-    /// The body has ended: gives the connection back if the stream is complete.
+    /// Handles the end of the body: returns the connection to the pool if the stream is complete.
     fn end_of_body(&mut self) -> Option<StreamChunk> {
         if !self.framer.as_mut().is_none_or(EventFramer::ends_complete) {
             return self.break_off(StreamBroken::Cut);
@@ -183,7 +184,7 @@
         if remainder.is_empty() { None } else { Some(Ok(remainder)) }
     }
 
-    /// The endpoint has been silent for too long, and may be on its other connections.
+    /// Handles a silent endpoint, whose other connections may be silent too.
     fn silent(&mut self) -> Option<StreamChunk> {
         if !self.reported_error() {
             self.pool.invalidate(self.endpoint);
@@ -191,7 +192,7 @@
         self.end_unless_error_reported(StreamBroken::Cut)
     }
 
-    /// Ends a stream that broke. After an error event a break adds nothing: the client has its response.
+    /// Ends a broken stream. After an error event the client already has its response, so no error is added.
     fn end_unless_error_reported(&mut self, broken: StreamBroken) -> Option<StreamChunk> {
         if self.reported_error() {
             self.ended = true;
@@ -207,7 +208,7 @@
     }
 }
 
-/// How a stream broke whose body failed: by bytes that are not HTTP, or with its connection.
+/// Classifies a body error as malformed HTTP or as a lost connection.
 fn failure_kind(error: &hyper::Error) -> StreamBroken {
     let io_kind = error.source().and_then(|source| source.downcast_ref::<io::Error>()).map(io::Error::kind);
     let is_invalid = matches!(io_kind, Some(io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData));
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! The endpoints of one fleet, the protocol that they speak, and what goes to them and comes back.
+//! A fleet of endpoints and its protocol, with the payload sent to endpoints and the response received.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,59 +12,59 @@
 use crate::upstream::connection_pool::ConnectionPool;
 use crate::upstream::event_stream::EventStream;
 
-/// Header by which endpoints recognise retries of a request.
+/// Header by which endpoints recognize retries of a request.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// The protocol that a fleet's endpoints speak.
+/// The protocol of a fleet's endpoints.
 #[derive(Clone, Debug)]
 pub enum UpstreamProtocol {
     /// The platform's protocol.
     Platform,
-    /// Public chat completions; with headers to add to each request, such as an authorization.
+    /// Public chat completions, with headers to add to each request, such as an authorization.
     Chat(HeaderMap),
 }
 
-/// What of a request is passed on unchanged, without a look inside.
+/// The parts of a request that are forwarded unchanged and without being parsed.
 #[derive(Clone, Debug)]
 pub struct RequestPayload {
-    /// The id by which endpoints know the request.
+    /// The id that identifies the request to endpoints.
     pub id: Rc<str>,
     /// Path and query.
     pub target: PathAndQuery,
-    /// What the body says it is.
+    /// The content type of the body.
     pub content_type: Option<HeaderValue>,
-    /// The client's `Idempotency-Key`, by which endpoints drop retries of the request.
+    /// The client's `Idempotency-Key`, by which endpoints deduplicate retries of the request.
     pub idempotency_key: Option<HeaderValue>,
     /// The body.
     pub body: Bytes,
 }
 
-/// What an attempt came to before any event was passed on.
+/// The result of an attempt before any event has been forwarded.
 pub enum AttemptResponse {
-    /// The stream has begun.
+    /// The stream has started.
     Streaming(Box<EventStream>),
-    /// The prompt is prefilled; of its tokens so many were cached.
+    /// The prompt is prefilled; contains the number of its tokens that were cached.
     Prefilled(f64),
-    /// The attempt ended otherwise.
+    /// The attempt ended in any other way.
     Finished(Outcome),
 }
 
-/// What an attempt came to, and what the endpoint reported with it.
+/// The result of an attempt, with the load report that the endpoint sent.
 pub struct FirstResponse {
-    /// What the attempt came to.
+    /// The result of the attempt.
     pub response: AttemptResponse,
     /// The endpoint's load, if the response reports it.
     pub load_report: Option<LoadReport>,
 }
 
 impl FirstResponse {
-    /// An attempt that ended without a response of use.
+    /// Creates the result of an attempt that ended without a usable response.
     pub(crate) fn finished(outcome: Outcome) -> Self {
         FirstResponse { response: AttemptResponse::Finished(outcome), load_report: None }
     }
 }
 
-/// One fleet's endpoints and how to talk to them.
+/// A fleet of endpoints and how to communicate with them.
 pub struct Upstream {
     pool: Rc<ConnectionPool>,
     protocol: UpstreamProtocol,
@@ -73,8 +73,8 @@
 }
 
 impl Upstream {
-    /// A fleet behind this pool, at whose endpoints something may stay reserved for `max_reservation` while
-    /// no attempt is in flight.
+    /// Creates a fleet with the given connection pool. `max_reservation` is the longest time for which
+    /// anything may stay reserved at its endpoints with no attempt in flight.
     pub fn new(
         pool: Rc<ConnectionPool>, protocol: UpstreamProtocol, counters: Rc<Counters>,
         max_reservation: Duration,
@@ -82,32 +82,33 @@
         Upstream { pool, protocol, counters, max_reservation }
     }
 
-    /// Longest time for which something may stay reserved for a request while no attempt is in flight.
+    /// Returns the longest time for which anything may stay reserved for a request with no attempt in flight.
     pub fn max_reservation(&self) -> Duration {
         self.max_reservation
     }
 
-    /// The connections to the fleet.
+    /// Returns the connections to the fleet.
     pub fn pool(&self) -> &Rc<ConnectionPool> {
         &self.pool
     }
 
-    /// The counters of the fleet's API.
+    /// Returns the counters of the fleet's API.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// The protocol that the endpoints speak.
+    /// Returns the protocol of the endpoints.
     pub(super) fn protocol(&self) -> &UpstreamProtocol {
         &self.protocol
     }
 
-    /// Whether an endpoint is a prefill endpoint, where KV caches may be left. One that is not known may be.
+    /// Returns whether an endpoint is a prefill endpoint, where a KV cache may be left behind. An unknown
+    /// endpoint is treated as one.
     pub fn prefills(&self, endpoint: EndpointId) -> bool {
         self.pool.address(endpoint).is_none_or(|address| address.role == Role::Prefill)
     }
 
-    /// Whether anything can be reserved at this fleet's endpoints.
+    /// Returns whether anything can be reserved at this fleet's endpoints.
     pub fn has_reservations(&self) -> bool {
         matches!(self.protocol, UpstreamProtocol::Platform)
     }
--- a/src/upstream/idle_connections.rs
+++ b/src/upstream/idle_connections.rs
@@ -6,12 +6,12 @@
 
 use crate::upstream::connect::Connection;
 
-/// Time for which a connection must have been quiet before it is used again. A close right after a response,
-/// or bytes behind it that belong to no request, have shown within this.
+/// Minimum idle time before a connection is reused. If the endpoint closes the connection right after a
+/// response, or sends stray bytes after it, this is detected within that time.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(100);
 
-/// Most idle connections kept for each endpoint: enough for a usual burst to one endpoint, far below the
-/// pool's limit.
+/// Maximum number of idle connections per endpoint: sufficient for a typical burst to one endpoint, and far
+/// below the pool's limit.
 const MAX_IDLE_PER_ENDPOINT: usize = 24;
 
 struct IdleConnection {
@@ -25,30 +25,30 @@
     }
 }
 
-/// The idle connections to one endpoint, in the order in which they became idle.
+/// The idle connections to one endpoint, ordered by the time at which they became idle.
 #[derive(Default)]
 pub(super) struct IdleConnections(Vec<IdleConnection>);
 
 impl IdleConnections {
-    /// Whether there is none.
+    /// Returns whether there are no idle connections.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Since when the connection that has been idle longest is idle.
+    /// Returns when the connection that has been idle longest became idle, if there is one.
     pub(super) fn oldest_since(&self) -> Option<Instant> {
         self.0.first().map(|idle| idle.since)
     }
 
-    /// Keeps a connection that is idle since `now`, unless it is closed or there are enough.
+    /// Adds a connection that became idle at `now`, unless it is closed or the maximum is reached.
     pub(super) fn keep(&mut self, connection: Connection, now: Instant) {
         if !connection.is_closed() && self.0.len() < MAX_IDLE_PER_ENDPOINT {
             self.0.push(IdleConnection { connection, since: now });
         }
     }
 
-    /// Takes out the connection that became idle last among those that have settled and are idle for at most
-    /// `max_idle`.
+    /// Removes and returns the most recently used connection whose idle time is at least
+    /// [`MIN_IDLE_BEFORE_REUSE`] and at most `max_idle`.
     pub(super) fn take_settled(&mut self, max_idle: Duration) -> Option<Connection> {
         let reusable = MIN_IDLE_BEFORE_REUSE..=max_idle;
         let position = self.0.iter().rposition(|idle| reusable.contains(&idle.since.elapsed()))?;
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Closes the connections that are idle for `idle_timeout` or that their endpoint has closed.
+    /// Closes connections that have been idle for `idle_timeout` or that the endpoint has closed.
     pub(super) fn evict(&mut self, idle_timeout: Duration) {
         self.0.retain(|idle| idle.is_usable(idle_timeout));
     }
 
-    /// Closes all of them.
+    /// Closes all connections.
     pub(super) fn close_all(&mut self) {
         self.0.clear();
     }
--- a/src/upstream/load_report.rs
+++ b/src/upstream/load_report.rs
@@ -1,4 +1,4 @@
-//! The load reports of endpoints, as they stand in a header or in the body of a health check.
+//! Parsing of endpoints' load reports, which are sent in a header or in the body of a health check.
 
 use hyper::header::HeaderMap;
 use serde::Deserialize;
@@ -8,13 +8,13 @@
 /// Header with the endpoint's load.
 const SERVER_LOAD: &str = "server-load";
 
-/// Tokens in the thousand in which endpoints report the tokens that wait for prefill.
+/// Endpoints report the tokens queued for prefill in thousands.
 const TOKENS_PER_REPORTED_UNIT: f64 = 1_000.0;
 
-/// Microseconds in the millisecond in which endpoints report their latency.
+/// Endpoints report their latency in milliseconds.
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// A load report by its names on sockets, which the platform's settings give.
+/// A load report with the field names that the platform's settings assign on the wire.
 #[derive(Deserialize)]
 struct LoadReportText {
     #[serde(rename = "inflight")]
@@ -31,12 +31,12 @@
     queued_prefill_kilotokens: Option<f64>,
 }
 
-/// The load report in the head of a response, if there is one that can be read.
+/// Returns the load report in a response head, if there is one that can be parsed.
 pub(super) fn from_headers(headers: &HeaderMap) -> Option<LoadReport> {
     parse(headers.get(SERVER_LOAD)?.as_bytes())
 }
 
-/// Reads a load report; none if the text is not one.
+/// Parses a load report. Returns `None` if the text is not one.
 pub(super) fn parse(text: &[u8]) -> Option<LoadReport> {
     let report: LoadReportText = serde_json::from_slice(text).ok()?;
     Some(LoadReport {
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: connections, attempts, event streams and releases.
+//! Communication with endpoints: connections, attempts, event streams, and releases of reservations.
 
 pub mod connect;
 pub mod connection_pool;
--- a/src/upstream/release.rs
+++ b/src/upstream/release.rs
@@ -1,4 +1,4 @@
-//! Releasing what is reserved for a request at the endpoints.
+//! Releases everything reserved for a request at endpoints.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -10,19 +10,19 @@
 use crate::scheduler::EndpointId;
 use crate::upstream::exchange::Upstream;
 
-/// Time for an endpoint to accept the call before the next endpoint is called beside it. The scheduler has
-/// used most of the reservation limit when it orders a release, so a silent endpoint must not use up what
-/// remains.
+/// Time for an endpoint to accept the call before the next endpoint is called in parallel. Most of the
+/// reservation limit has passed when the scheduler requests a release, so one silent endpoint must not use up
+/// the rest.
 const NEXT_ENDPOINT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time for one endpoint to accept the call. Calls to several endpoints overlap, so it may be far
+/// Maximum time for one endpoint to accept the call. Calls to several endpoints overlap, so it can be much
 /// longer than the interval between them.
 const RELEASE_CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time after which a release is abandoned: the reservation has exceeded its limit by far by then.
+/// Time after which a release is abandoned. The reservation has far exceeded its limit by then.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How one call ended.
+/// The result of a call to one endpoint.
 struct CallResult {
     endpoint: EndpointId,
     accepted: bool,
@@ -33,7 +33,7 @@
     upstream: Rc<Upstream>,
     request_id: Rc<str>,
     in_flight: JoinSet<CallResult>,
-    /// The endpoints still to be called in this round.
+    /// The endpoints that have not been called in this round.
     remaining: VecDeque<EndpointId>,
 }
 
@@ -42,7 +42,8 @@
         ReleaseCalls { upstream, request_id, in_flight: JoinSet::new(), remaining: VecDeque::new() }
     }
 
-    /// Calls the next endpoint, the likeliest to respond first; after the last one a new round begins.
+    /// Calls the next endpoint, in order of likelihood to respond. A new round starts after the last
+    /// endpoint.
     fn call_next(&mut self) {
         if self.remaining.is_empty() {
             self.remaining = self.upstream.pool().by_reachability().into();
@@ -51,7 +52,7 @@
         self.in_flight.spawn_local(call(self.upstream.clone(), endpoint, self.request_id.clone()));
     }
 
-    /// Waits until `deadline` for the next call to end; none if none has by then.
+    /// Waits until `deadline` for the next call to end. Returns `None` if none does.
     async fn next_result(&mut self, deadline: Instant) -> Option<CallResult> {
         tokio::select! {
             Some(result) = self.in_flight.join_next() => result.ok(),
@@ -59,19 +60,19 @@
         }
     }
 
-    /// Whether no call is in flight although the round is not over.
+    /// Returns whether no call is in flight although endpoints remain in this round.
     fn can_proceed_at_once(&self) -> bool {
         self.in_flight.is_empty() && !self.remaining.is_empty()
     }
 
-    /// Waits until `deadline`, or until the next endpoint should be called, for an endpoint to accept the
-    /// call.
+    /// Waits until `deadline` for an endpoint to accept the call. Returns `None` earlier if the next endpoint
+    /// should be called.
     async fn accepted_by(&mut self, deadline: Instant) -> Option<EndpointId> {
         while let Some(result) = self.next_result(deadline).await {
             if result.accepted {
                 return Some(result.endpoint);
             }
-            // A pause follows only between two rounds.
+            // There is a pause only between rounds.
             if self.can_proceed_at_once() {
                 return None;
             }
@@ -89,8 +90,8 @@
     CallResult { endpoint, accepted }
 }
 
-/// Releases all that is reserved for the request. Any endpoint accepts the call for all of them: one that
-/// cannot be reached is passed over, and beside one that is silent the next is called.
+/// Releases everything reserved for the request. Any one endpoint can accept the call for all of them, so
+/// unreachable endpoints are skipped, and a silent one is hedged by calling the next.
 pub async fn release(upstream: Rc<Upstream>, request_id: Rc<str>) {
     let deadline = Instant::now() + RELEASE_TIMEOUT;
     let mut calls = ReleaseCalls::new(upstream, request_id);
@@ -104,5 +105,5 @@
         }
     }
     calls.upstream.counters().releases_failed.increment();
-    tracing::warn!(request_id = %calls.request_id, "reservation not released: no endpoint took the call");
+    tracing::warn!(request_id = %calls.request_id, "reservation not released: no endpoint accepted the call");
 }
--- a/src/upstream/request_head.rs
+++ b/src/upstream/request_head.rs
@@ -1,4 +1,4 @@
-//! Method, target and headers of the requests to endpoints.
+//! Method, target and headers of requests to endpoints.
 
 use hyper::header::{CONTENT_TYPE, HOST, HeaderMap, HeaderValue};
 use hyper::{Method, Request};
@@ -7,13 +7,13 @@
 use crate::upstream::connection_pool::EndpointAddress;
 use crate::upstream::exchange::{IDEMPOTENCY_KEY, RequestPayload, UpstreamProtocol};
 
-/// Header with the id by which endpoints know the request.
+/// Header with the id that identifies the request to endpoints.
 const REQUEST_ID: &str = "request-id";
 
-/// Header with the time in milliseconds for which the response is waited for.
+/// Header with the time in milliseconds for which the router waits for the response.
 const REQUEST_TIMEOUT: &str = "request-timeout-ms";
 
-/// Fills in the head of an attempt, but for its timeout.
+/// Sets the head of an attempt's request, except for the timeout header.
 pub(super) fn fill<B>(
     request: &mut Request<B>, protocol: &UpstreamProtocol, address: Option<&EndpointAddress>,
     payload: &RequestPayload,
@@ -30,14 +30,14 @@
     insert_if_present(headers, IDEMPOTENCY_KEY, payload.idempotency_key.clone());
 }
 
-/// Names the time for which the response is waited for: what is left until the deadline, and 1 ms at least.
+/// Sets the timeout header to the time remaining until the deadline, with a minimum of 1 ms.
 pub(super) fn insert_timeout(headers: &mut HeaderMap, response_deadline: Instant) {
     let remaining = response_deadline.saturating_duration_since(Instant::now());
     let remaining_ms = remaining.as_millis() as u64;
     headers.insert(REQUEST_TIMEOUT, remaining_ms.max(1).into());
 }
 
-/// Names the endpoint's address as the host.
+/// Sets the `Host` header to the endpoint's address.
 pub(super) fn insert_host(headers: &mut HeaderMap, address: Option<&EndpointAddress>) {
     let host = address.and_then(|address| HeaderValue::from_str(&address.addr.to_string()).ok());
     insert_if_present(headers, HOST.as_str(), host);
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! What the status of a response means in each protocol, and the reading of responses that do not stream.
+//! Classification of responses by status, and reading of response bodies that are not streamed.
 
 use std::time::Duration;
 
@@ -12,28 +12,28 @@
 use crate::scheduler::Outcome;
 use crate::upstream::exchange::UpstreamProtocol;
 
-/// Largest body of a response that does not stream, in bytes: far above any that endpoints send, and little
-/// memory.
+/// Maximum size of a response body that is not streamed, in bytes. Far above the size of any body that
+/// endpoints send, and a small amount of memory.
 const MAX_BODY_SIZE: usize = 256 * 1024;
 
-/// Longest wait for the body of a rejection or an error. It mostly comes with the head, and says nothing that
-/// is used: it is read only to keep the connection.
+/// Maximum wait for the body of a rejection or an error. It usually arrives with the head, and its content is
+/// not used: it is read only so that the connection can be reused.
 pub(super) const FAILURE_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Header by which the platform's endpoints say that a rejected request was not executed.
+/// Header with which the platform's endpoints declare that a rejected request was not executed.
 const NOT_STARTED: &str = "not-started";
 
-/// What is to be done with a response.
+/// How a response is handled.
 pub(super) enum ResponseClass {
-    /// It is the client's response.
+    /// Forwarded to the client.
     Forwarded,
-    /// Its body says what was done.
+    /// Its body reports the result.
     Accepted,
-    /// The attempt has failed, whatever the body says.
+    /// The attempt has failed, regardless of the body.
     Failed(Outcome),
 }
 
-/// What the head of a response means.
+/// Classifies a response by its head.
 pub(super) fn classify(
     protocol: &UpstreamProtocol, status: StatusCode, headers: &HeaderMap,
 ) -> ResponseClass {
@@ -46,8 +46,8 @@
     }
 }
 
-/// Whether a status is a public endpoint's verdict on the request itself, such as on a field that it does not
-/// support. That is the client's response, as another endpoint would say the same.
+/// Returns whether the status is a public endpoint's final error for the request itself, such as an
+/// unsupported field. It is forwarded to the client because another endpoint would respond in the same way.
 fn is_final_error(protocol: &UpstreamProtocol, status: StatusCode) -> bool {
     let is_about_endpoint = matches!(
         status,
@@ -78,18 +78,20 @@
 fn excludes_execution(protocol: &UpstreamProtocol, status: StatusCode, headers: &HeaderMap) -> bool {
     match protocol {
         UpstreamProtocol::Platform => headers.get(NOT_STARTED).is_some_and(|value| value == "1"),
-        // Public endpoints reject a request before its execution with 429 only; a 503 may come after a start.
+        // Public endpoints guarantee only for a 429 that the request was not executed. A 503 may be sent
+        // after execution has started.
         UpstreamProtocol::Chat(_) => status == StatusCode::TOO_MANY_REQUESTS,
     }
 }
 
-/// Reads a body to its end; none if it is too large or breaks.
+/// Reads a complete body. Returns `None` if it is too large or incomplete.
 pub(super) async fn read_body(body: Incoming) -> Option<Bytes> {
     let collected = Limited::new(body, MAX_BODY_SIZE).collect().await;
     Some(collected.ok()?.to_bytes())
 }
 
-/// How many of a prompt's tokens a prefill endpoint found cached; 0 if it does not say so.
+/// Parses how many of the prompt's tokens were found in a prefill endpoint's cache. Returns 0 if the endpoint
+/// does not report it.
 pub(super) fn parse_cached_tokens(text: &[u8]) -> f64 {
     #[derive(Deserialize)]
     struct PrefillResult {
--- a/src/upstream/send_gate.rs
+++ b/src/upstream/send_gate.rs
@@ -1,8 +1,8 @@
-//! The one place that decides whether a request may be written to an endpoint now.
+//! Decides whether a request may be written to an endpoint at this moment.
 //!
-//! The scheduler decides where a request goes; what it knew may have changed while a connection came up. So
-//! right before the first byte of each attempt the request's gate is consulted. A request has one gate for
-//! all its attempts.
+//! The scheduler decides where a request is sent, but the conditions may have changed while a connection was
+//! being opened. The request's gate is therefore checked immediately before the first byte of each attempt is
+//! written. A request has one gate for all its attempts.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,37 +12,37 @@
 use crate::metrics::{Counter, Counters};
 use crate::upstream::connection_pool::EndpointAddress;
 
-/// Why an attempt may not be written now.
+/// Why an attempt must not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendDenied {
-    /// Nobody waits for the response any more.
+    /// The client no longer waits for the response.
     #[error("the request has ended")]
     RequestEnded,
-    /// The endpoint drains or has left the endpoint list.
+    /// The endpoint is draining or is no longer in the endpoint list.
     #[error("the endpoint is draining or removed")]
     Draining,
-    /// The time within which the attempt had to begin is over: for a retry the deduplication window, for a
-    /// reservation its limit.
-    #[error("the attempt would begin too late")]
+    /// The attempt's start deadline has passed: the end of the deduplication window for a retry, the limit of
+    /// the reservation for a request that has one.
+    #[error("the start deadline of the attempt has passed")]
     Late,
-    /// The time for its response is over.
-    #[error("the time for the response is over")]
+    /// The response deadline has passed.
+    #[error("the response deadline has passed")]
     Expired,
-    /// Another attempt of the request is in flight. No command of the scheduler leads here; it would be a
+    /// Another attempt of the request is in flight. The scheduler never requests this; it would be a
     /// violation.
-    #[error("another attempt is in flight")]
+    #[error("another attempt of the request is in flight")]
     AttemptInFlight,
 }
 
-/// When an attempt may begin and how long its first event is waited for.
+/// When an attempt may start and how long to wait for its first event.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
-    /// Until when its first event is waited for.
+    /// Deadline for the first event.
     pub response_deadline: Instant,
-    /// When it must have begun; none if it may begin at any time.
+    /// Deadline for the start of the attempt; `None` if there is no limit.
     pub start_deadline: Option<Instant>,
-    /// Whether something is reserved for the request until the attempt has arrived: it then needs a verified
-    /// connection.
+    /// Whether a reservation is held for the request until the attempt arrives. The attempt then requires a
+    /// verified connection.
     pub reserved: bool,
 }
 
@@ -53,7 +53,7 @@
     in_flight: Rc<Cell<bool>>,
 }
 
-/// An attempt that was admitted and is in flight until this is dropped.
+/// An admitted attempt, in flight until this is dropped.
 pub struct AttemptInFlight(Rc<Cell<bool>>);
 
 impl AttemptInFlight {
@@ -70,26 +70,26 @@
 }
 
 impl SendGate {
-    /// An open gate.
+    /// Creates an open gate.
     pub fn new(counters: Rc<Counters>) -> Self {
         SendGate { counters, closed: Cell::new(false), in_flight: Rc::default() }
     }
 
-    /// Admits nothing from now on, as nobody waits for the response any more.
+    /// Closes the gate: no further attempt is admitted because the client no longer waits for the response.
     pub fn close(&self) {
         self.closed.set(true);
     }
 
-    /// Whether an attempt has been admitted and has not ended.
+    /// Returns whether an admitted attempt is in flight.
     pub fn attempt_in_flight(&self) -> bool {
         self.in_flight.get()
     }
 
-    /// Admits an attempt at an endpoint, which is then in flight until the result is dropped.
+    /// Admits an attempt at an endpoint. The attempt is in flight until the returned guard is dropped.
     ///
     /// # Errors
     ///
-    /// The reason why the attempt must not be written; each is counted.
+    /// The reason why the attempt must not be written. Each denial is counted.
     pub fn admit(
         &self, address: Option<&EndpointAddress>, deadlines: &AttemptDeadlines,
     ) -> Result<AttemptInFlight, SendDenied> {
--- a/src/upstream/write_progress.rs
+++ b/src/upstream/write_progress.rs
@@ -1,5 +1,5 @@
-//! How far a request has been written: an attempt whose last byte was never written is known never to have
-//! run.
+//! Tracks how much of a request has been written. If the last byte was not written, the endpoint cannot have
+//! executed the request.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -13,31 +13,31 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How far the last byte of a request has come.
+/// How far the last byte of a request has been written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum WriteState {
-    /// The body has not been handed to hyper.
+    /// The body has not been passed to hyper.
     #[default]
     Pending,
     /// The last byte is in hyper's write buffer.
     Buffered,
-    /// The buffer with the last byte was flushed to the socket.
+    /// The buffer with the last byte has been flushed to the socket.
     Flushed,
 }
 
-/// Shows whether the last byte of a connection's current request has been written to the socket.
+/// Tracks whether the last byte of a connection's current request has been written to the socket.
 ///
-/// Clones share one state: the request's body and the connection's socket advance it, the attempt reads it.
+/// Clones share the same state, which the request body and the socket update and the attempt reads.
 #[derive(Clone, Default)]
 pub struct WriteProgress(Rc<Cell<WriteState>>);
 
 impl WriteProgress {
-    /// Whether the last byte was written to the socket.
+    /// Returns whether the last byte has been written to the socket.
     pub fn is_flushed(&self) -> bool {
         self.0.get() == WriteState::Flushed
     }
 
-    /// Starts over for the next request on the same connection.
+    /// Resets the state for the next request on the same connection.
     fn reset(&self) {
         self.0.set(WriteState::Pending);
     }
@@ -46,8 +46,8 @@
         self.0.set(WriteState::Buffered);
     }
 
-    /// hyper flushes the socket only once its own buffer is empty, so a flush after the body was handed over
-    /// has written the last byte.
+    /// hyper flushes the socket only when its own buffer is empty, so a flush after the body was passed to it
+    /// means that the last byte has been written.
     fn socket_flushed(&self) {
         if self.0.get() == WriteState::Buffered {
             self.0.set(WriteState::Flushed);
@@ -55,21 +55,21 @@
     }
 }
 
-/// A request body in one piece that records when it has been handed to hyper.
+/// A request body in a single piece that records when it has been passed to hyper.
 pub struct TrackedBody {
     data: Option<Bytes>,
     progress: WriteProgress,
 }
 
 impl TrackedBody {
-    /// The body of the next request on the connection that `progress` belongs to.
+    /// Creates the body of the next request on the connection that `progress` belongs to.
     pub(super) fn new(data: Bytes, progress: WriteProgress) -> Self {
         progress.reset();
         let data = if data.is_empty() { None } else { Some(data) };
         TrackedBody { data, progress }
     }
 
-    /// Shows how far this body has been written.
+    /// Returns the write progress of this body.
     pub fn progress(&self) -> WriteProgress {
         self.progress.clone()
     }
@@ -95,14 +95,14 @@
     }
 }
 
-/// A socket that records when a body that was handed to hyper has been flushed.
+/// A socket that records when a body passed to hyper has been flushed.
 pub(super) struct TrackedStream {
     socket: TcpStream,
     progress: WriteProgress,
 }
 
 impl TrackedStream {
-    /// Records the flushes of `socket` in `progress`.
+    /// Creates a stream that records the flushes of `socket` in `progress`.
     pub(super) fn new(socket: TcpStream, progress: WriteProgress) -> Self {
         TrackedStream { socket, progress }
     }
--- a/tests/client_connection.rs
+++ b/tests/client_connection.rs
@@ -1,4 +1,4 @@
-//! The lifetime of a client's connection, on the paused clock of a test.
+//! The lifecycle of a client connection, tested with paused time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Far above any wait that is meant.
+/// Limit for every wait in these tests, far above the time that a passing test needs.
 const PATIENCE: Duration = Duration::from_secs(60);
-/// Turns of all tasks within which what is due without a wait has happened.
+/// Number of yields to the runtime after which all work that is ready has been done.
 const TURNS: u32 = 1_000;
-/// Longer than what the small pipe holds.
-const ANSWER: &str = "an answer of more than sixty-four bytes, which a client reads only when it likes to";
+/// Longer than the small pipe's buffer, so that it is written out only when the client reads.
+const ANSWER: &str = "a response of more than sixty-four bytes, which does not fit into the small test pipe";
 /// A request without a body.
 const GET: &str = "GET /x HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A served connection over a pipe of this size: the client's end, and the state of the connection.
+/// Serves a connection over a pipe of `pipe` bytes. Returns the client's end and the connection's state.
 fn connect(limiter: &Rc<ConnectionLimiter>, pipe: usize) -> (DuplexStream, Rc<ClientState>) {
     let (client, server) = tokio::io::duplex(pipe);
     let shutdown = Shutdown::default();
@@ -54,8 +54,15 @@
 async fn read_answer(client: &mut DuplexStream) {
     let mut text = Vec::new();
     while !String::from_utf8_lossy(&text).ends_with(ANSWER) {
-        let read = timeout(PATIENCE, client.read_buf(&mut text)).await.expect("bytes or an end");
-        assert_ne!(read.expect("an open pipe"), 0, "cut off in {:?}", String::from_utf8_lossy(&text));
+        let read = timeout(PATIENCE, client.read_buf(&mut text))
+            .await
+            .expect("data or end of stream before the timeout");
+        assert_ne!(
+            read.expect("pipe is open"),
+            0,
+            "connection closed after {:?}",
+            String::from_utf8_lossy(&text)
+        );
     }
 }
 
@@ -66,12 +73,12 @@
         }
         tokio::task::yield_now().await;
     }
-    panic!("{:?} instead of {expected:?}", state.stage());
+    panic!("stage is {:?}, expected {expected:?}", state.stage());
 }
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), test);
+    LocalSet::new().block_on(&runtime.expect("runtime is built"), test);
 }
 
 #[test]
@@ -79,15 +86,16 @@
     run(async {
         let limiter = ConnectionLimiter::new(1, 1_024);
         let (mut client, state) = connect(&limiter, 64);
-        client.write_all(GET.as_bytes()).await.expect("an open pipe");
+        client.write_all(GET.as_bytes()).await.expect("pipe is open");
         wait_for_stage(&state, ConnectionStage::Flushing).await;
         let _other = limiter.register();
         read_answer(&mut client).await;
-        // Once it is written, the connection is idle, and is closed for the next one.
+        // After the response has been written, the connection is idle and is evicted for the next one.
         wait_for_stage(&state, ConnectionStage::Idle).await;
         let _next = limiter.register();
-        let read = timeout(PATIENCE, client.read_u8()).await.expect("an end");
-        assert!(read.is_err(), "it went on");
+        let read =
+            timeout(PATIENCE, client.read_u8()).await.expect("connection is closed before the timeout");
+        assert!(read.is_err(), "the idle connection was not evicted");
     });
 }
 
@@ -99,17 +107,21 @@
         client
             .write_all(b"GET /x HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n")
             .await
-            .expect("an open pipe");
+            .expect("pipe is open");
         wait_for_stage(&state, ConnectionStage::Lingering).await;
         let _other = limiter.register();
         assert_eq!(
             state.stage(),
             ConnectionStage::Lingering,
-            "it was chosen though its client may still read"
+            "evicted while its client may still be reading"
         );
         sleep(Duration::from_millis(500)).await;
         let _next = limiter.register();
-        assert_ne!(state.stage(), ConnectionStage::Lingering, "it goes when its client has had time to read");
+        assert_ne!(
+            state.stage(),
+            ConnectionStage::Lingering,
+            "not evicted after its client had time to read"
+        );
     });
 }
 
@@ -117,13 +129,13 @@
 fn a_head_that_starts_on_an_idle_connection_has_its_own_timeout() {
     run(async {
         let (mut client, _state) = connect(&ConnectionLimiter::new(9, 1_024), 4_096);
-        client.write_all(GET.as_bytes()).await.expect("an open pipe");
+        client.write_all(GET.as_bytes()).await.expect("pipe is open");
         read_answer(&mut client).await;
-        // Two pauses, each shorter than the idle timeout, and together longer.
+        // Each pause is shorter than the idle timeout, but their sum is longer.
         sleep(Duration::from_millis(1_900)).await;
-        client.write_all(&GET.as_bytes()[..20]).await.expect("an open pipe");
+        client.write_all(&GET.as_bytes()[..20]).await.expect("pipe is open");
         sleep(Duration::from_millis(1_900)).await;
-        client.write_all(&GET.as_bytes()[20..]).await.expect("an open pipe");
+        client.write_all(&GET.as_bytes()[20..]).await.expect("pipe is open");
         read_answer(&mut client).await;
     });
 }
@@ -134,9 +146,9 @@
         for first in ["", "GET /x HT"] {
             let (mut client, _state) = connect(&ConnectionLimiter::new(9, 1_024), 4_096);
             sleep(Duration::from_millis(2_000)).await;
-            client.write_all(first.as_bytes()).await.expect("an open pipe");
+            client.write_all(first.as_bytes()).await.expect("pipe is open");
             let closed = timeout(Duration::from_millis(1_000), client.read_u8()).await;
-            assert!(closed.is_ok_and(|read| read.is_err()), "still open after {first:?}");
+            assert!(closed.is_ok_and(|read| read.is_err()), "connection still open after {first:?}");
         }
     });
 }
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their request is under way: nothing is sent for them afterwards.
+//! Clients that disconnect while a request is in progress: nothing more may be sent for them.
 
 mod common;
 
@@ -18,7 +18,7 @@
     assert_eq!(received.read_message().header("request-id"), Some("p1"));
     leaving.close();
     router.process.wait_for_log("client disconnected request_id=p1");
-    // The attempt is cancelled: its connection ends, and nothing is sent but the release of its reservation.
+    // The attempt is cancelled: its connection is closed, and only the release of its reservation is sent.
     assert_eq!(received.read_to_end_or_reset(), "");
     router.process.wait_for_log("releasing reservation request_id=p1");
     let log = router.process.terminate();
@@ -29,7 +29,7 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnects_between_two_attempts() {
-    // Nothing can be cancelled here, so an attempt in flight goes on after its client has disconnected.
+    // Cancellation is disabled, so an attempt in flight continues after its client has disconnected.
     let mut router = StubbedRouter::start(&[("\"cancelling\": true", "\"cancelling\": false")]);
     let mut leaving = router.client();
     leaving.send(&request("b1", "climb-query", 6_000));
@@ -38,21 +38,18 @@
     leaving.close();
     router.process.wait_for_log("client disconnected request_id=b1");
     received.send(PREFILLED);
-    // On the same connection or on another one: the reservation is released, and no decode endpoint is sent to.
+    // The reservation is released on the same or another connection, and no request is sent to the decode
+    // endpoint.
     router.process.wait_for_log("releasing reservation request_id=b1");
     router.process.terminate();
-    assert_eq!(
-        router.decode_stub.count_unaccepted_requests(),
-        0,
-        "forwarded after its client had disconnected"
-    );
+    assert_eq!(router.decode_stub.count_unaccepted_requests(), 0, "sent after the client disconnected");
 }
 
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnects_while_its_request_is_queued() {
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
-    // No decode endpoint is known, so the request waits.
+    // No decode endpoint is known, so the request is queued.
     let mut router = start_router(&base, &["r1"], &[]);
     let mut leaving = connect_client(&base);
     leaving.send(&request("q1", "climb-query", 6_000));
@@ -64,5 +61,5 @@
     router.watch.send(&(added + "\n"));
     router.process.wait_for_log("endpoint=w1 state=Ready");
     router.process.terminate();
-    assert!(prefill_stub.has_no_unaccepted_connection(), "forwarded after its client had disconnected");
+    assert!(prefill_stub.has_no_unaccepted_connection(), "sent after the client disconnected");
 }
--- a/tests/connection_races.rs
+++ b/tests/connection_races.rs
@@ -1,4 +1,4 @@
-//! Answers, closes and pauses that cross each other on the connections of clients and endpoints.
+//! Races between responses, closes and pauses on client and endpoint connections.
 
 mod common;
 
@@ -11,9 +11,10 @@
 use common::stub_listener::StubListener;
 use common::stubbed_router::{StubbedRouter, answer_prefill, start_stream};
 
-/// Events of a stream that together are far more than what the system and the router buffer for a client.
+/// Number of large events in a stream. Together they far exceed what the system and the router buffer for a
+/// client.
 const LARGE_EVENT_COUNT: usize = 600;
-/// Length of each of them, in bytes.
+/// Size of each large event, in bytes.
 const LARGE_EVENT_LENGTH: usize = 32_768;
 
 #[test]
@@ -22,11 +23,12 @@
     let mut first = router.client();
     first.send(&request("k1", "climb-query", 6_000));
     let [mut reused, stream] = router.answer_request("k1", &mut first);
-    // Half of an answer to no request, as from an endpoint that exits while its connection is idle.
+    // A partial response that belongs to no request, as sent by an endpoint that exits while its connection
+    // is idle.
     reused.send("HTTP/1.1 50");
     reused.close();
     first.send(&request("k2", "climb-query", 6_000));
-    // The decode endpoint closes its connection in good order, so a new one is opened.
+    // The decode endpoint closes its connection gracefully, so a new one is opened.
     drop(stream);
     let _open = router.answer_request("k2", &mut first);
     first.close();
@@ -58,7 +60,7 @@
     let _prefill = answer_prefill(&router.prefill_stub, "v1");
     let mut stream = start_stream(&router.decode_stub, "v1");
     client.read_until("data: {\"n\":1}\n\n");
-    // One event and the start of another in one chunk.
+    // A complete event and the start of the next one in a single chunk.
     stream.send("16\r\ndata: {\"n\":2}\n\ndata: {\r\n");
     client.read_until("data: {\"n\":2}\n\n");
     stream.send("8\r\n\"n\":3}\n\n\r\n");
@@ -98,10 +100,11 @@
     let mut prefill = answer_prefill(&router.prefill_stub, "n1");
     let mut malformed = router.decode_stub.accept();
     malformed.read_message();
-    // Idle connections are reused once they have been quiet for a while.
+    // A connection is not reused until it has been idle for 100 ms.
     std::thread::sleep(Duration::from_millis(150));
     malformed.send("HTTP/1.1 200 OK\r\nContent-Type: text/html\r\nContent-Length: 5\r\n\r\nnoise");
-    // The KV cache may be lost with it, so its reservation is released and the prompt is prefilled again.
+    // The KV cache may have been lost with the attempt, so the reservation is released and the prompt is
+    // prefilled again.
     assert!(prefill.read_message().head.starts_with("DELETE"));
     prefill.send("HTTP/1.1 204 No Content\r\n\r\n");
     let _again = answer_prefill(&router.prefill_stub, "n1");
@@ -119,7 +122,7 @@
     let text = request("t1", "climb-query", 6_000);
     let (head, body) = text.split_at(text.len() - 5);
     slow.send(head);
-    // Long against the margin that is subtracted for the network.
+    // Long compared with the margin that the router subtracts for network delay.
     std::thread::sleep(Duration::from_millis(300));
     slow.send(body);
     router.process.wait_for_log(
@@ -145,12 +148,13 @@
         stream.send(STREAM_END);
         stream
     });
-    // An endpoint that sends nothing for 4.3 s is taken for dead; this one waits for the client all that time.
+    // An endpoint that sends nothing for 4.3 s counts as dead. This one is only blocked by the slow client
+    // for longer than that.
     std::thread::sleep(Duration::from_millis(5_500));
     let text = slow.read_until("data: [DONE]\n\n");
     assert_eq!(text.matches("data: x").count(), LARGE_EVENT_COUNT);
     slow.read_until("0\r\n\r\n");
-    drop(stream_writer.join().expect("all is written"));
+    drop(stream_writer.join().expect("the stream writer panicked"));
     router.process.terminate();
 }
 
@@ -160,9 +164,9 @@
     let mut idle = router.client();
     idle.send(READINESS_REQUEST);
     idle.read_message();
-    // The router closes it once it has been idle for too long.
+    // The router closes the connection after the idle timeout.
     assert_eq!(idle.read_to_end(), "");
     idle.send_ignoring_close(&request("x1", "climb-query", 6_000));
-    assert!(idle.is_reset_on_write(), "its request was read after the close");
+    assert!(idle.is_reset_on_write(), "the request was read after the close");
     router.process.terminate();
 }
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -1,4 +1,4 @@
-//! Changes while an attempt waits for a connection: an attempt that may no longer start is not written then.
+//! Changes while an attempt waits for a connection: an attempt that may no longer start must not be written.
 
 mod common;
 
@@ -23,22 +23,22 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout};
 
-/// Connections that the system queues for a listener.
+/// Backlog of a listener that accepts no connections.
 const BACKLOG: u32 = 1;
-/// For bytes that are already in transit over loopback.
+/// Time for bytes already in transit over loopback to arrive.
 const LOOPBACK_DELAY: Duration = Duration::from_millis(200);
-/// Far above any wait that is meant.
+/// Limit for every wait in these tests, far above the time that a passing test needs.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// The context of a router with one prefill endpoint and one decode endpoint at this address, and room for a single
-/// connection to them. Attempts cannot be cancelled.
+/// Returns the context of a router with one prefill and one decode endpoint, both at the listener's address.
+/// The pool allows a single connection, and attempts cannot be cancelled.
 fn routing_context(listener: &TcpListener) -> RoutingContext {
     let mut settings = settings();
     settings.capabilities.cancellation = false;
     let limits = PoolLimits { connect_timeout: PATIENCE, idle_timeout: PATIENCE, max_connections: 1 };
     let counters = Rc::new(Counters::default());
     let pool = Rc::new(ConnectionPool::new(limits, counters.clone()));
-    let addr = listener.local_addr().expect("it listens");
+    let addr = listener.local_addr().expect("listener is bound");
     let updates = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     for update in &updates {
         let role = settings.kinds[update.kind.0].role;
@@ -62,17 +62,17 @@
     }
 }
 
-/// The same for a request's task, where nothing limits the memory.
+/// Returns the same payload for a request task, with no memory limit.
 fn allocated_payload() -> AllocatedPayload<()> {
     AllocatedPayload { payload: payload(), allocation: () }
 }
 
-/// Takes the only connection that the pool has room for.
+/// Opens the only connection that the pool allows.
 async fn occupy_pool(context: &RoutingContext, listener: &TcpListener) -> Connection {
     let Ok(occupying) = context.upstream.pool().connection(EndpointId(PREFILL)).await else {
-        panic!("it listens");
+        panic!("cannot connect to the listener");
     };
-    let _ = listener.accept().await.expect("the connection that occupies the pool");
+    let _ = listener.accept().await.expect("accept the connection that occupies the pool");
     occupying
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// The first bytes of the next connection, if one is made at all.
+/// Returns the first bytes received on the next connection, if one is opened.
 async fn first_bytes_of_next_connection(listener: TcpListener) -> Vec<u8> {
     let mut received = Vec::new();
     if let Ok((mut socket, _)) = listener.accept().await {
@@ -91,9 +91,9 @@
     received
 }
 
-/// Lets a request wait for a connection, and its client disconnect; returns the bytes that were written.
+/// Disconnects the client of a request that waits for a connection. Returns the bytes that were written.
 async fn disconnect_while_waiting_for_a_connection() -> Vec<u8> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
     let context = routing_context(&listener);
     let occupying = occupy_pool(&context, &listener).await;
     let (responder, response) = Responder::new();
@@ -104,29 +104,29 @@
     while context.counters.client_disconnects.get() == 0 {
         tokio::task::yield_now().await;
     }
-    // The pool has room again: an attempt that still waits for a connection gets one now.
+    // The pool has capacity again: an attempt that still waits for a connection gets one now.
     drop(occupying);
     tokio::select! {
         received = first_bytes_of_next_connection(listener) => received,
         finished = timeout(PATIENCE, request_task) => {
-            finished.expect("it ends").expect("it ends well");
+            finished.expect("task ends before the timeout").expect("task does not panic");
             Vec::new()
         }
     }
 }
 
-/// Lets a request wait for a handshake that does not complete, and its client disconnect; returns the bytes that were
-/// written.
+/// Disconnects the client of a request whose connection does not complete its handshake. Returns the bytes
+/// that were written.
 async fn disconnect_while_waiting_for_a_handshake() -> Vec<u8> {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind(([127, 0, 0, 1], 0).into()).expect("a free port");
-    let listener = socket.listen(BACKLOG).expect("it listens");
-    let addr = listener.local_addr().expect("it listens");
-    // Nobody accepts these, so the next handshake waits for the system to take the connection: it queues one more
-    // than its backlog.
+    let socket = TcpSocket::new_v4().expect("create a socket");
+    socket.bind(([127, 0, 0, 1], 0).into()).expect("bind to a free port");
+    let listener = socket.listen(BACKLOG).expect("listener is bound");
+    let addr = listener.local_addr().expect("listener is bound");
+    // These connections are never accepted and fill the listener's queue, which holds one more than its
+    // backlog, so the next handshake stays incomplete.
     let mut queued = Vec::new();
     for _ in 0..=BACKLOG {
-        queued.push(TcpStream::connect(addr).await.expect("room in the queue"));
+        queued.push(TcpStream::connect(addr).await.expect("listener queue has room"));
     }
     let context = routing_context(&listener);
     let (responder, response) = Responder::new();
@@ -134,7 +134,10 @@
         spawn_local(run_request(context.clone(), request_spec(1), allocated_payload(), responder));
     wait_for_first_attempt(&context).await;
     drop(response);
-    timeout(PATIENCE, request_task).await.expect("it ends").expect("it ends well");
+    timeout(PATIENCE, request_task)
+        .await
+        .expect("task ends before the timeout")
+        .expect("task does not panic");
     drop(queued);
     let mut written = Vec::new();
     while let Ok(Ok((mut accepted, _))) = timeout(LOOPBACK_DELAY, listener.accept()).await {
@@ -143,11 +146,12 @@
     written
 }
 
-/// Lets an attempt wait for a connection, makes the change, and returns its outcome and the bytes that were written.
+/// Applies a change while an attempt waits for a connection. Returns the outcome and the bytes that were
+/// written.
 async fn change_while_waiting(
     start_deadline: Option<Instant>, change: impl FnOnce(&RoutingContext),
 ) -> (Outcome, Vec<u8>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
     let context = routing_context(&listener);
     let occupying = occupy_pool(&context, &listener).await;
     let upstream = context.upstream.clone();
@@ -160,69 +164,74 @@
             reserved: false,
         };
         let response = upstream.run_attempt(EndpointId(PREFILL), &payload(), deadlines, &gate).await.response;
-        let AttemptResponse::Finished(outcome) = response else { panic!("nobody answers") };
+        let AttemptResponse::Finished(outcome) = response else { panic!("unexpected response") };
         outcome
     });
     wait_for_first_attempt(&context).await;
     change(&context);
     drop(occupying);
-    let endpoint_address = listener.local_addr().expect("it listens");
+    let endpoint_address = listener.local_addr().expect("listener is bound");
     let written = spawn_local(first_bytes_of_next_connection(listener));
-    let outcome = timeout(PATIENCE, attempt).await.expect("it ends").expect("it ends well");
-    // The connections are closed here, so that the read at the endpoint ends.
+    let outcome =
+        timeout(PATIENCE, attempt).await.expect("task ends before the timeout").expect("task does not panic");
+    // Close the connections so that the read on the endpoint's side ends.
     context.upstream.pool().set_address(EndpointId(PREFILL), None);
-    // An attempt past its start deadline need not have connected at all. This connection comes after any that the
-    // attempt has made, and ends the wait for one if there is none.
+    // An attempt past its start deadline may not have connected at all. This connection arrives after any
+    // that the attempt opened, and ends the accept if there was none.
     drop(TcpStream::connect(endpoint_address).await);
-    (outcome, timeout(PATIENCE, written).await.expect("it ends").expect("it ends well"))
+    (
+        outcome,
+        timeout(PATIENCE, written).await.expect("task ends before the timeout").expect("task does not panic"),
+    )
 }
 
 fn run<T>(test: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime is built");
     LocalSet::new().block_on(&runtime, test)
 }
 
 #[test]
 fn a_request_that_waits_for_a_connection_is_not_sent_once_its_client_has_disconnected() {
     let written = run(disconnect_while_waiting_for_a_connection());
-    assert!(written.is_empty(), "sent {}", String::from_utf8_lossy(&written));
+    assert!(written.is_empty(), "unexpected bytes sent: {}", String::from_utf8_lossy(&written));
 }
 
 #[test]
 fn a_request_whose_handshake_does_not_complete_is_not_sent_once_its_client_has_disconnected() {
     let written = run(disconnect_while_waiting_for_a_handshake());
-    assert!(written.is_empty(), "sent {}", String::from_utf8_lossy(&written));
+    assert!(written.is_empty(), "unexpected bytes sent: {}", String::from_utf8_lossy(&written));
 }
 
 #[test]
 fn an_attempt_that_waits_for_a_connection_is_not_sent_to_an_endpoint_that_drains_by_then() {
     let drain = |context: &RoutingContext| {
         let endpoint = EndpointId(PREFILL);
-        let address = context.upstream.pool().address(endpoint).expect("a known endpoint");
+        let address = context.upstream.pool().address(endpoint).expect("endpoint is known");
         context.upstream.pool().set_address(endpoint, Some(EndpointAddress { ready: false, ..address }));
     };
     let (outcome, written) = run(change_while_waiting(None, drain));
-    assert_eq!(outcome, Outcome::NotSent, "it was never executed, and its endpoint is not to blame");
-    assert!(written.is_empty(), "sent {}", String::from_utf8_lossy(&written));
+    assert_eq!(outcome, Outcome::NotSent, "not executed, and the endpoint is not at fault");
+    assert!(written.is_empty(), "unexpected bytes sent: {}", String::from_utf8_lossy(&written));
 }
 
 #[test]
 fn an_attempt_that_waits_for_a_connection_is_not_sent_once_its_deduplication_window_is_over() {
     let (outcome, written) = run(async { change_while_waiting(Some(Instant::now()), |_| {}).await });
-    assert_eq!(outcome, Outcome::NotSent, "it was never executed, and its endpoint is not to blame");
-    assert!(written.is_empty(), "sent {}", String::from_utf8_lossy(&written));
+    assert_eq!(outcome, Outcome::NotSent, "not executed, and the endpoint is not at fault");
+    assert!(written.is_empty(), "unexpected bytes sent: {}", String::from_utf8_lossy(&written));
 }
 
 #[test]
 fn an_attempt_waits_for_a_connection_no_longer_than_its_start_deadline() {
     let outcome = run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
         let context = routing_context(&listener);
-        // The pool stays occupied for good, at both ends.
+        // Neither end of the pool's only connection is closed during this test.
         let Ok(_occupying) = context.upstream.pool().connection(EndpointId(PREFILL)).await else {
-            panic!("it listens");
+            panic!("cannot connect to the listener");
         };
-        let _accepted = listener.accept().await.expect("the connection that occupies the pool");
+        let _accepted = listener.accept().await.expect("accept the connection that occupies the pool");
         let gate = SendGate::new(context.counters.clone());
         let start_deadline = Some(Instant::now() + Duration::from_millis(50));
         let deadlines =
--- a/tests/silent_endpoints.rs
+++ b/tests/silent_endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoints that fall silent: while they hold a reservation, on idle connections, and all at once.
+//! Endpoints that stop responding: while a reservation is held, on idle connections, and all at the same
+//! time.
 
 mod common;
 
@@ -10,12 +11,12 @@
 use common::router_process::start_router;
 use common::stub_listener::StubListener;
 
-/// Longer than any number of calls that time out one after another may take.
+/// Longer than any sequence of calls that time out one after another.
 const SILENCE: Duration = Duration::from_millis(900);
-/// The answer to the release of a reservation.
+/// The response to the release of a reservation.
 const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-/// Answers the prefill of a request on a connection.
+/// Reads a prefill request on a connection and answers it.
 fn answer_prefill(connection: &mut Connection, id: &str) {
     assert_eq!(connection.read_message().header("request-id"), Some(id));
     connection.send(PREFILLED);
@@ -38,7 +39,7 @@
     leaving.close();
     router.process.wait_for_log("releasing reservation request_id=v1");
     std::thread::sleep(SILENCE);
-    // Calls from now on are answered.
+    // From here on, calls are answered.
     while router.process.has_not_logged("reservation released request_id=v1") {
         if let Some(mut call) = StubListener::accept_soon(&all)
             && call.read_message_or_end().is_some_and(|received| received.head.starts_with("DELETE"))
@@ -64,7 +65,7 @@
     idle.send(STREAM_START);
     idle.send(STREAM_END);
     client.read_until("0\r\n\r\n");
-    // From now on nobody answers on that connection, and it shows no error.
+    // From here on, nobody responds on the idle connection, and it reports no error.
     std::thread::sleep(SILENCE);
     client.send(&request("k2", "climb-query", 6_000));
     answer_prefill(&mut prefill, "k2");
