--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -58,17 +58,17 @@
 }
 
 /// The result of an attempt.
-pub(super) struct AttemptEnd {
+pub(super) struct AttemptResult {
     outcome: Outcome,
     /// Number of prompt tokens found in the endpoint's cache.
     cached_tokens: f64,
     load_report: Option<LoadReport>,
 }
 
-impl From<Outcome> for AttemptEnd {
+impl From<Outcome> for AttemptResult {
     /// Builds the result of an attempt for which the endpoint reported nothing but the outcome.
     fn from(outcome: Outcome) -> Self {
-        AttemptEnd { outcome, cached_tokens: 0.0, load_report: None }
+        AttemptResult { outcome, cached_tokens: 0.0, load_report: None }
     }
 }
 
@@ -79,7 +79,7 @@
         if self.settled {
             return self.finish_attempt(&attempt, Outcome::Abandoned.into());
         }
-        let is_prefill = self.context.upstream.prefills(send.endpoint);
+        let is_prefill = self.context.upstream.is_prefill_endpoint(send.endpoint);
         if is_prefill && !self.release_before_prefill().await {
             return self.finish_attempt(&attempt, Outcome::Abandoned.into());
         }
@@ -88,7 +88,7 @@
             AttemptResponse::Streaming(events) => NextStep::Forward(StartedStream { events, attempt }),
             AttemptResponse::Prefilled(cached_tokens) => {
                 self.reservation.start();
-                let result = AttemptEnd { outcome: Outcome::Prefilled, cached_tokens, load_report };
+                let result = AttemptResult { outcome: Outcome::Prefilled, cached_tokens, load_report };
                 self.finish_attempt(&attempt, result)
             }
             AttemptResponse::Finished(outcome) => {
@@ -98,8 +98,8 @@
                     self.reservation.start();
                     self.reservation.release();
                 }
-                self.reservation.attempt_finished(outcome, attempt.elapsed());
-                self.finish_attempt(&attempt, AttemptEnd { outcome, cached_tokens: 0.0, load_report })
+                self.reservation.record_attempt(outcome, attempt.elapsed());
+                self.finish_attempt(&attempt, AttemptResult { outcome, cached_tokens: 0.0, load_report })
             }
         }
     }
@@ -119,8 +119,8 @@
     }
 
     /// Counts and logs an attempt's outcome and reports it to the scheduler.
-    pub(super) fn finish_attempt(&mut self, attempt: &Attempt, result: AttemptEnd) -> NextStep {
-        let AttemptEnd { outcome, cached_tokens, load_report } = result;
+    pub(super) fn finish_attempt(&mut self, attempt: &Attempt, result: AttemptResult) -> NextStep {
+        let AttemptResult { outcome, cached_tokens, load_report } = result;
         self.last_outcome = Some(outcome);
         self.context.counters.attempt_ended(outcome);
         let elapsed = attempt.elapsed();
@@ -149,10 +149,10 @@
     async fn release_before_prefill(&mut self) -> bool {
         let client_disconnected = tokio::select! {
             () = self.reservation.release_before_prefill() => false,
-            () = self.responder.client_disconnected() => true,
+            () = self.responder.wait_for_disconnect() => true,
         };
         if client_disconnected {
-            self.client_disconnected();
+            self.handle_client_disconnect();
         }
         !client_disconnected
     }
@@ -163,7 +163,7 @@
         let deadlines = AttemptDeadlines {
             response_deadline: attempt.response_deadline(self.deadline),
             start_deadline: attempt.start_deadline(),
-            reserved: self.reservation.is_held(),
+            has_reservation: self.reservation.is_held(),
         };
         let upstream = self.context.upstream.clone();
         let gate = self.gate.clone();
@@ -175,7 +175,7 @@
                 event = self.next_event() => event,
                 first_response = &mut exchange => return first_response,
             };
-            if self.handle_during_attempt(&event, attempt.id).is_break() {
+            if self.handle_event_during_attempt(&event, attempt.id).is_break() {
                 return FirstResponse::finished(Outcome::Cancelled);
             }
             // Not every endpoint supports cancellation, but an attempt that has not been sent yet can always
@@ -187,7 +187,7 @@
     }
 
     /// Handles an event that occurs during an attempt. Breaks if the attempt is cancelled.
-    fn handle_during_attempt(&mut self, event: &TaskEvent, attempt: AttemptId) -> ControlFlow<()> {
+    fn handle_event_during_attempt(&mut self, event: &TaskEvent, attempt: AttemptId) -> ControlFlow<()> {
         match event {
             TaskEvent::Command(RequestCommand::Cancel(cancelled)) if *cancelled == attempt => {
                 return ControlFlow::Break(());
@@ -210,8 +210,8 @@
                 | RequestCommand::Migrate
                 | RequestCommand::Forgotten,
             ) => {}
-            TaskEvent::ClientDisconnected => self.client_disconnected(),
-            TaskEvent::Overdue => self.fail_overdue(),
+            TaskEvent::ClientDisconnected => self.handle_client_disconnect(),
+            TaskEvent::DecisionTimeout => self.fail_undecided(),
         }
         ControlFlow::Continue(())
     }
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -17,7 +17,7 @@
 
 /// Time (15 ms) after the deadline at which the task fails a request that the scheduler has not decided. The
 /// rules allow more, and a healthy scheduler has decided by then.
-const OVERDUE_GRACE: Duration = Duration::from_millis(15);
+const DECISION_GRACE: Duration = Duration::from_millis(15);
 
 /// How late (500 ms after the deadline) a final answer may be before it counts as a violation.
 const MAX_ANSWER_LATENESS: Duration = Duration::from_millis(500);
@@ -29,7 +29,7 @@
     /// The client disconnected before it received a final answer.
     ClientDisconnected,
     /// The scheduler made no decision by the deadline.
-    Overdue,
+    DecisionTimeout,
 }
 
 /// A request in progress. Owns the request's scheduler handle, its responder and its reservation.
@@ -96,7 +96,7 @@
     /// Ends the task: checks that the client was answered and waits until nothing is reserved any more. The
     /// scheduler is notified of the task's end only after that.
     pub(super) async fn finish(self) {
-        if self.responder.client_waits() {
+        if self.responder.client_is_waiting() {
             self.context.counters.violations_unanswered.increment();
             tracing::error!(request_id = %self.id, "violation: request ended without an answer");
         }
@@ -109,8 +109,8 @@
         tokio::select! {
             biased;
             command = self.scheduler.next_command() => TaskEvent::Command(command),
-            () = self.responder.client_disconnected(), if !self.settled => TaskEvent::ClientDisconnected,
-            () = sleep_until(self.deadline + OVERDUE_GRACE), if !self.settled => TaskEvent::Overdue,
+            () = self.responder.wait_for_disconnect(), if !self.settled => TaskEvent::ClientDisconnected,
+            () = sleep_until(self.deadline + DECISION_GRACE), if !self.settled => TaskEvent::DecisionTimeout,
         }
     }
 
@@ -131,8 +131,8 @@
                 TaskEvent::Command(RequestCommand::ReleaseReservation) => self.reservation.release(),
                 TaskEvent::Command(RequestCommand::Forgotten) => return None,
                 TaskEvent::Command(RequestCommand::Cancel(_) | RequestCommand::Migrate) => {}
-                TaskEvent::ClientDisconnected => self.client_disconnected(),
-                TaskEvent::Overdue => self.fail_overdue(),
+                TaskEvent::ClientDisconnected => self.handle_client_disconnect(),
+                TaskEvent::DecisionTimeout => self.fail_undecided(),
             }
         }
     }
@@ -164,24 +164,24 @@
     }
 
     /// Fails the request because the scheduler has not decided in time.
-    pub(super) fn fail_overdue(&mut self) {
+    pub(super) fn fail_undecided(&mut self) {
         tracing::error!(request_id = %self.id, "scheduler made no decision by the deadline");
         self.context.counters.decision_timeouts.increment();
         self.log_answer("failed");
         self.responder.respond(RoutedResponse::Failed);
-        self.settle_without_scheduler();
+        self.settle_without_decision();
     }
 
     /// Records that the client disconnected before it received a final answer.
-    pub(super) fn client_disconnected(&mut self) {
+    pub(super) fn handle_client_disconnect(&mut self) {
         tracing::debug!(request_id = %self.id, "client disconnected");
         self.context.counters.client_disconnects.increment();
-        self.settle_without_scheduler();
+        self.settle_without_decision();
     }
 
     /// Settles the request without a decision of the scheduler: nothing more is sent, and the scheduler is
     /// told to drop the request.
-    fn settle_without_scheduler(&mut self) {
+    fn settle_without_decision(&mut self) {
         self.settled = true;
         self.gate.close();
         self.scheduler.client_disconnected();
--- a/src/request/reservation.rs
+++ b/src/request/reservation.rs
@@ -52,14 +52,14 @@
 
     /// Records an attempt that ended `elapsed` after it was sent. If it reached its endpoint, the
     /// reservation's time restarts.
-    pub(super) fn attempt_finished(&mut self, outcome: Outcome, elapsed: Micros) {
+    pub(super) fn record_attempt(&mut self, outcome: Outcome, elapsed: Micros) {
         if outcome.reached_endpoint(elapsed) && self.is_held() {
             self.start();
         }
     }
 
     /// Ends the reservation after a decode endpoint has fetched the KV cache.
-    pub(super) fn transferred(&mut self) {
+    pub(super) fn mark_transferred(&mut self) {
         self.reserved_since = None;
     }
 
--- a/src/request/responder.rs
+++ b/src/request/responder.rs
@@ -39,7 +39,7 @@
     }
 
     /// Waits until the client disconnects. Never completes once the final answer has been sent.
-    pub(super) async fn client_disconnected(&mut self) {
+    pub(super) async fn wait_for_disconnect(&mut self) {
         match &mut self.sender {
             Some(sender) => sender.closed().await,
             None => std::future::pending().await,
@@ -47,7 +47,7 @@
     }
 
     /// Returns whether the client is connected and has received no answer.
-    pub(super) fn client_waits(&self) -> bool {
+    pub(super) fn client_is_waiting(&self) -> bool {
         self.sender.as_ref().is_some_and(|sender| !sender.is_closed())
     }
 
--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -14,7 +14,7 @@
 const MAX_WAITING_CHUNKS: usize = 4;
 
 /// How the forwarding of a stream ended.
-enum Forwarded {
+enum ForwardResult {
     /// The stream is complete.
     Complete,
     /// The stream broke.
@@ -30,10 +30,10 @@
     /// endpoint, and no deadline applies.
     pub(super) async fn forward_stream(&mut self, stream: StartedStream) {
         let StartedStream { events, attempt } = stream;
-        self.reservation.transferred();
+        self.reservation.mark_transferred();
         self.report_first_token(&attempt);
-        let forwarded = self.forward_to_client(events).await;
-        let outcome = self.count_stream(&forwarded);
+        let result = self.forward_to_client(events).await;
+        let outcome = self.count_stream(&result);
         self.settled = true;
         self.finish_attempt(&attempt, outcome.into());
     }
@@ -55,46 +55,46 @@
 
     /// Answers with the stream and forwards it until it ends or the scheduler migrates it. When this returns,
     /// the stream is closed on both sides.
-    async fn forward_to_client(&mut self, mut events: Box<EventStream>) -> Forwarded {
+    async fn forward_to_client(&mut self, mut events: Box<EventStream>) -> ForwardResult {
         let (client, chunks) = mpsc::channel(MAX_WAITING_CHUNKS);
         let kind = events.kind().clone();
         if self.settled || !self.responder.respond(RoutedResponse::Body { kind, chunks }) {
-            return Forwarded::ClientDisconnected;
+            return ForwardResult::ClientDisconnected;
         }
-        let forwarded = tokio::select! {
-            forwarded = forward_events(&mut events, &client) => forwarded,
-            () = migration_requested(&mut self.scheduler) => {
+        let result = tokio::select! {
+            result = forward_events(&mut events, &client) => result,
+            () = wait_for_migration(&mut self.scheduler) => {
                 // The client resumes the stream with another request.
                 let _ = client.try_send(Err(StreamBroken::Cut));
-                Forwarded::Broken(StreamBroken::Cut)
+                ForwardResult::Broken(StreamBroken::Cut)
             }
         };
         // Close the endpoint's side first.
         drop(events);
-        forwarded
+        result
     }
 
     /// Counts how a stream ended and returns the outcome of its attempt.
-    fn count_stream(&mut self, forwarded: &Forwarded) -> Outcome {
-        match forwarded {
-            Forwarded::Complete => {
+    fn count_stream(&mut self, result: &ForwardResult) -> Outcome {
+        match result {
+            ForwardResult::Complete => {
                 self.context.counters.completed.increment();
                 Outcome::Completed
             }
-            Forwarded::Broken(broken) => {
+            ForwardResult::Broken(broken) => {
                 self.context.counters.interrupted.increment();
                 match broken {
                     StreamBroken::Malformed => Outcome::Malformed,
                     StreamBroken::Cut => Outcome::ConnectionLost,
                 }
             }
-            Forwarded::ReportedError => {
+            ForwardResult::ReportedError => {
                 self.context.counters.failed.increment();
                 Outcome::Error
             }
-            Forwarded::ClientDisconnected => {
+            ForwardResult::ClientDisconnected => {
                 if !self.settled {
-                    self.client_disconnected();
+                    self.handle_client_disconnect();
                 }
                 Outcome::Cancelled
             }
@@ -103,34 +103,34 @@
 }
 
 /// Forwards events until the stream ends or the client disconnects.
-async fn forward_events(events: &mut EventStream, client: &mpsc::Sender<StreamChunk>) -> Forwarded {
+async fn forward_events(events: &mut EventStream, client: &mpsc::Sender<StreamChunk>) -> ForwardResult {
     loop {
         let chunk = tokio::select! {
-            () = client.closed() => return Forwarded::ClientDisconnected,
+            () = client.closed() => return ForwardResult::ClientDisconnected,
             chunk = events.next_events() => chunk,
         };
         match chunk {
             Some(Ok(bytes)) => {
                 if client.send(Ok(bytes)).await.is_err() {
-                    return Forwarded::ClientDisconnected;
+                    return ForwardResult::ClientDisconnected;
                 }
             }
             Some(Err(broken)) => {
                 // If the channel is full because the client is slow, the error waits for capacity, but a
                 // client disconnect still ends the wait.
                 if client.send(Err(broken)).await.is_err() {
-                    return Forwarded::ClientDisconnected;
+                    return ForwardResult::ClientDisconnected;
                 }
-                return Forwarded::Broken(broken);
+                return ForwardResult::Broken(broken);
             }
-            None if events.reported_error() => return Forwarded::ReportedError,
-            None => return Forwarded::Complete,
+            None if events.reported_error() => return ForwardResult::ReportedError,
+            None => return ForwardResult::Complete,
         }
     }
 }
 
 /// Waits for the command to migrate the stream.
-async fn migration_requested(scheduler: &mut RequestHandle) {
+async fn wait_for_migration(scheduler: &mut RequestHandle) {
     loop {
         match scheduler.next_command().await {
             RequestCommand::Migrate => return,
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -31,7 +31,7 @@
             AttemptRun { upstream: self, endpoint, payload, deadlines, gate, write_progress: None };
         let finished = timeout_at(deadlines.response_deadline, attempt.run()).await;
         let Ok(result) = finished else {
-            self.pool().invalidate_if_unheard_since(endpoint, started);
+            self.pool().invalidate_if_silent_since(endpoint, started);
             return FirstResponse::finished(attempt.timeout_outcome());
         };
         if let AttemptResponse::Finished(Outcome::ConnectFailed | Outcome::ConnectionLost) = result.response {
@@ -98,7 +98,7 @@
                     return Err(outcome);
                 }
             };
-            match self.send_over(connection, in_flight).await {
+            match self.send_on(connection, in_flight).await {
                 Ok(exchange) => return Ok(exchange),
                 Err(SendFailure::ClosedBeforeUse) => {}
                 Err(SendFailure::Finished(outcome)) => return Err(outcome),
@@ -123,7 +123,7 @@
 
     async fn pooled_connection(&self) -> Result<Connection, ConnectError> {
         let pool = self.upstream.pool();
-        if self.deadlines.reserved {
+        if self.deadlines.has_reservation {
             pool.verified_connection(self.endpoint).await
         } else {
             pool.connection(self.endpoint).await
@@ -150,7 +150,7 @@
         })
     }
 
-    async fn send_over(
+    async fn send_on(
         &mut self, mut connection: Connection, in_flight: AttemptInFlight,
     ) -> Result<Exchange, SendFailure> {
         let body = connection.body(self.payload.body.clone());
@@ -159,7 +159,7 @@
         let request = self.request(body);
         match connection.sender().try_send_request(request).await {
             Ok(response) => Ok(Exchange { connection, response, in_flight }),
-            Err(error) => Err(send_failure(error, progress.is_flushed(), connection.is_reused())),
+            Err(error) => Err(classify_send_error(error, progress.is_flushed(), connection.is_reused())),
         }
     }
 
@@ -239,11 +239,11 @@
 /// Classifies an error of sending a request. hyper returns the request if it has written no part of it. Only
 /// then, and only on a reused connection, which the endpoint may have closed while it was idle, may the
 /// request be sent over another connection.
-fn send_failure(
+fn classify_send_error(
     mut error: TrySendError<Request<TrackedBody>>, is_flushed: bool, is_reused: bool,
 ) -> SendFailure {
-    let is_untouched = error.take_message().is_some() && !is_flushed;
-    if is_untouched && is_reused {
+    let nothing_written = error.take_message().is_some() && !is_flushed;
+    if nothing_written && is_reused {
         return SendFailure::ClosedBeforeUse;
     }
     let outcome = if !is_flushed {
--- a/src/upstream/connection_pool.rs
+++ b/src/upstream/connection_pool.rs
@@ -99,8 +99,8 @@
             by_endpoint.remove(&endpoint);
             return;
         };
-        if let Some(known) = by_endpoint.get_mut(&endpoint) {
-            known.set_address(address);
+        if let Some(pooled) = by_endpoint.get_mut(&endpoint) {
+            pooled.set_address(address);
         } else {
             by_endpoint.insert(endpoint, PooledEndpoint::new(address));
         }
@@ -109,7 +109,7 @@
     /// Returns an endpoint's address, if the endpoint is known.
     pub fn address(&self, endpoint: EndpointId) -> Option<EndpointAddress> {
         let by_endpoint = self.by_endpoint.borrow();
-        by_endpoint.get(&endpoint).map(|known| known.address.clone())
+        by_endpoint.get(&endpoint).map(|pooled| pooled.address.clone())
     }
 
     /// Returns all known endpoints, ordered by id.
@@ -119,10 +119,10 @@
 
     /// Returns the ready endpoints, most likely to respond first: endpoints with an idle connection precede
     /// those without, and within each group the most recent response comes first.
-    pub fn by_reachability(&self) -> Vec<EndpointId> {
+    pub fn endpoints_by_reachability(&self) -> Vec<EndpointId> {
         let by_endpoint = self.by_endpoint.borrow();
-        let mut ready: Vec<_> = by_endpoint.iter().filter(|(_, known)| known.address.ready).collect();
-        ready.sort_by_key(|(_, known)| (known.idle.is_empty(), Reverse(known.last_response_at)));
+        let mut ready: Vec<_> = by_endpoint.iter().filter(|(_, pooled)| pooled.address.ready).collect();
+        ready.sort_by_key(|(_, pooled)| (pooled.idle.is_empty(), Reverse(pooled.last_response_at)));
         ready.into_iter().map(|(endpoint, _)| *endpoint).collect()
     }
 
@@ -165,7 +165,7 @@
         let mut by_endpoint = self.by_endpoint.borrow_mut();
         let idle = &mut by_endpoint.get_mut(&endpoint)?.idle;
         idle.evict(self.limits.idle_timeout);
-        idle.take_settled(max_idle)
+        idle.take_reusable(max_idle)
     }
 
     async fn open(
@@ -190,8 +190,8 @@
 
     fn close_oldest_idle(&self) {
         let mut by_endpoint = self.by_endpoint.borrow_mut();
-        let with_idle = by_endpoint.values_mut().filter(|known| !known.idle.is_empty());
-        if let Some(oldest) = with_idle.min_by_key(|known| known.idle.oldest_since()) {
+        let with_idle = by_endpoint.values_mut().filter(|pooled| !pooled.idle.is_empty());
+        if let Some(oldest) = with_idle.min_by_key(|pooled| pooled.idle.oldest_idle_since()) {
             oldest.idle.close_oldest();
         }
     }
@@ -199,33 +199,33 @@
     /// Returns a connection to the pool after a complete exchange, or if no exchange was started on it.
     pub fn put_back(&self, endpoint: EndpointId, connection: Connection) {
         let mut by_endpoint = self.by_endpoint.borrow_mut();
-        let Some(known) = by_endpoint.get_mut(&endpoint) else { return };
+        let Some(pooled) = by_endpoint.get_mut(&endpoint) else { return };
         let now = Instant::now();
-        known.last_response_at = Some(now);
-        known.idle.keep(connection, now);
+        pooled.last_response_at = Some(now);
+        pooled.idle.keep(connection, now);
     }
 
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointId) {
-        if let Some(known) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
-            known.idle.close_all();
+        if let Some(pooled) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
+            pooled.idle.close_all();
         }
     }
 
     /// Closes the idle connections to an endpoint and discards the time of its last response. Called when a
     /// connection to it failed or stopped responding, as the idle ones may be dead too.
     pub fn invalidate(&self, endpoint: EndpointId) {
-        if let Some(known) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
-            known.idle.close_all();
-            known.last_response_at = None;
+        if let Some(pooled) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
+            pooled.idle.close_all();
+            pooled.last_response_at = None;
         }
     }
 
     /// [Invalidates](Self::invalidate) an endpoint after one of its connections has been silent since
     /// `silent_since`, unless another connection to it was returned to the pool since then.
-    pub fn invalidate_if_unheard_since(&self, endpoint: EndpointId, silent_since: Instant) {
+    pub fn invalidate_if_silent_since(&self, endpoint: EndpointId, silent_since: Instant) {
         let last_response_at =
-            self.by_endpoint.borrow().get(&endpoint).and_then(|known| known.last_response_at);
+            self.by_endpoint.borrow().get(&endpoint).and_then(|pooled| pooled.last_response_at);
         if last_response_at.is_none_or(|at| at < silent_since) {
             self.invalidate(endpoint);
         }
@@ -235,8 +235,8 @@
     pub async fn run_idle_eviction(&self) {
         loop {
             sleep(self.limits.idle_timeout / EVICTIONS_PER_IDLE_TIMEOUT).await;
-            for known in self.by_endpoint.borrow_mut().values_mut() {
-                known.idle.evict(self.limits.idle_timeout);
+            for pooled in self.by_endpoint.borrow_mut().values_mut() {
+                pooled.idle.evict(self.limits.idle_timeout);
             }
         }
     }
--- a/src/upstream/event_framer.rs
+++ b/src/upstream/event_framer.rs
@@ -28,7 +28,7 @@
 pub(super) struct EventFramer {
     format: EventFormat,
     /// The start of an event whose end has not been received.
-    incomplete: BytesMut,
+    buffer: BytesMut,
     done: bool,
     reported_error: bool,
 }
@@ -36,7 +36,7 @@
 impl EventFramer {
     /// Creates a framer for a new stream.
     pub(super) fn new(format: EventFormat) -> Self {
-        EventFramer { format, incomplete: BytesMut::new(), done: false, reported_error: false }
+        EventFramer { format, buffer: BytesMut::new(), done: false, reported_error: false }
     }
 
     /// Returns whether an event reported an error.
@@ -46,29 +46,29 @@
 
     /// Adds received bytes and returns all events that are now complete. The result may be empty.
     pub(super) fn push(&mut self, bytes: Bytes) -> Result<Bytes, MalformedEvents> {
-        if self.incomplete.is_empty() && complete_length(&bytes) == bytes.len() {
+        if self.buffer.is_empty() && complete_events_len(&bytes) == bytes.len() {
             self.check_events(&bytes)?;
             return Ok(bytes);
         }
-        self.incomplete.extend_from_slice(&bytes);
-        let complete = self.incomplete.split_to(complete_length(&self.incomplete)).freeze();
+        self.buffer.extend_from_slice(&bytes);
+        let complete = self.buffer.split_to(complete_events_len(&self.buffer)).freeze();
         self.check_events(&complete)?;
-        self.check_incomplete()?;
+        self.check_buffer()?;
         Ok(complete)
     }
 
     /// Removes and returns the bytes after the last complete event. Called at the end of the stream.
     pub(super) fn take_remainder(&mut self) -> Bytes {
-        self.incomplete.split().freeze()
+        self.buffer.split().freeze()
     }
 
     /// Returns whether a stream that ends here is complete. The last event need not be followed by an empty
     /// line.
-    pub(super) fn ends_complete(&mut self) -> bool {
+    pub(super) fn is_complete_at_end(&mut self) -> bool {
         match self.format {
             EventFormat::Opaque => true,
             EventFormat::ChatCompletions => {
-                let remainder = self.incomplete.clone();
+                let remainder = self.buffer.clone();
                 self.scan_lines(&remainder);
                 self.done || self.reported_error
             }
@@ -76,7 +76,7 @@
     }
 
     fn check_events(&mut self, events: &[u8]) -> Result<(), MalformedEvents> {
-        if std::str::from_utf8(events).is_err() || events.iter().any(is_control) {
+        if std::str::from_utf8(events).is_err() || events.iter().any(is_invalid_control) {
             return Err(MalformedEvents);
         }
         match self.format {
@@ -87,9 +87,9 @@
     }
 
     /// Rejects malformed data as soon as it arrives instead of waiting for the maximum event size.
-    fn check_incomplete(&self) -> Result<(), MalformedEvents> {
-        let is_too_long = self.incomplete.len() > MAX_EVENT_SIZE;
-        if !may_become_utf8(&self.incomplete) || self.incomplete.iter().any(is_control) || is_too_long {
+    fn check_buffer(&self) -> Result<(), MalformedEvents> {
+        let is_too_long = self.buffer.len() > MAX_EVENT_SIZE;
+        if !is_utf8_prefix(&self.buffer) || self.buffer.iter().any(is_invalid_control) || is_too_long {
             return Err(MalformedEvents);
         }
         Ok(())
@@ -113,21 +113,21 @@
 }
 
 /// Returns the length of the complete events in `bytes`, up to and including the last empty line.
-fn complete_length(bytes: &[u8]) -> usize {
+fn complete_events_len(bytes: &[u8]) -> usize {
     let ends_in_empty_line =
         |at: &usize| matches!(bytes[..=*at], [.., b'\n', b'\n'] | [.., b'\n', b'\r', b'\n']);
     (0..bytes.len()).rev().find(ends_in_empty_line).map_or(0, |at| at + 1)
 }
 
 /// Returns whether the bytes are valid UTF-8, except that the last character may be incomplete.
-fn may_become_utf8(bytes: &[u8]) -> bool {
+fn is_utf8_prefix(bytes: &[u8]) -> bool {
     match std::str::from_utf8(bytes) {
         Ok(_) => true,
         Err(error) => error.error_len().is_none(),
     }
 }
 
-fn is_control(byte: &u8) -> bool {
+fn is_invalid_control(byte: &u8) -> bool {
     byte.is_ascii_control() && !matches!(byte, b'\n' | b'\r' | b'\t')
 }
 
--- a/src/upstream/event_stream.rs
+++ b/src/upstream/event_stream.rs
@@ -150,16 +150,16 @@
         loop {
             let frame = match timeout_at(deadline, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(error))) => return self.end_unless_error_reported(failure_kind(&error)),
-                Ok(None) => return self.end_of_body(),
-                Err(_elapsed) => return self.silent(),
+                Ok(Some(Err(error))) => return self.fail_unless_error_reported(classify_body_error(&error)),
+                Ok(None) => return self.handle_end_of_body(),
+                Err(_elapsed) => return self.handle_silence(),
             };
             // Trailers are not forwarded.
             let Ok(data) = frame.into_data() else { continue };
             match self.complete_events(data) {
                 Ok(events) if events.is_empty() => {}
                 Ok(events) => return Some(Ok(events)),
-                Err(MalformedEvents) => return self.break_off(StreamBroken::Malformed),
+                Err(MalformedEvents) => return self.fail(StreamBroken::Malformed),
             }
         }
     }
@@ -172,9 +172,9 @@
     }
 
     /// Handles the end of the body: returns the connection to the pool if the stream is complete.
-    fn end_of_body(&mut self) -> Option<StreamChunk> {
-        if !self.framer.as_mut().is_none_or(EventFramer::ends_complete) {
-            return self.break_off(StreamBroken::Cut);
+    fn handle_end_of_body(&mut self) -> Option<StreamChunk> {
+        if !self.framer.as_mut().is_none_or(EventFramer::is_complete_at_end) {
+            return self.fail(StreamBroken::Cut);
         }
         self.ended = true;
         if let Some(connection) = self.connection.take() {
@@ -185,23 +185,23 @@
     }
 
     /// Handles a silent endpoint, whose other connections may be silent too.
-    fn silent(&mut self) -> Option<StreamChunk> {
+    fn handle_silence(&mut self) -> Option<StreamChunk> {
         if !self.reported_error() {
             self.pool.invalidate(self.endpoint);
         }
-        self.end_unless_error_reported(StreamBroken::Cut)
+        self.fail_unless_error_reported(StreamBroken::Cut)
     }
 
     /// Ends a broken stream. After an error event the client already has its response, so no error is added.
-    fn end_unless_error_reported(&mut self, broken: StreamBroken) -> Option<StreamChunk> {
+    fn fail_unless_error_reported(&mut self, broken: StreamBroken) -> Option<StreamChunk> {
         if self.reported_error() {
             self.ended = true;
             return None;
         }
-        self.break_off(broken)
+        self.fail(broken)
     }
 
-    fn break_off(&mut self, broken: StreamBroken) -> Option<StreamChunk> {
+    fn fail(&mut self, broken: StreamBroken) -> Option<StreamChunk> {
         self.ended = true;
         self.connection = None;
         Some(Err(broken))
@@ -209,7 +209,7 @@
 }
 
 /// Classifies a body error as malformed HTTP or as a lost connection.
-fn failure_kind(error: &hyper::Error) -> StreamBroken {
+fn classify_body_error(error: &hyper::Error) -> StreamBroken {
     let io_kind = error.source().and_then(|source| source.downcast_ref::<io::Error>()).map(io::Error::kind);
     let is_invalid = matches!(io_kind, Some(io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData));
     if error.is_parse() || is_invalid { StreamBroken::Malformed } else { StreamBroken::Cut }
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -104,7 +104,7 @@
 
     /// Returns whether an endpoint is a prefill endpoint, where a KV cache may be left behind. An unknown
     /// endpoint is treated as one.
-    pub fn prefills(&self, endpoint: EndpointId) -> bool {
+    pub fn is_prefill_endpoint(&self, endpoint: EndpointId) -> bool {
         self.pool.address(endpoint).is_none_or(|address| address.role == Role::Prefill)
     }
 
--- a/src/upstream/idle_connections.rs
+++ b/src/upstream/idle_connections.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns when the connection that has been idle longest became idle, if there is one.
-    pub(super) fn oldest_since(&self) -> Option<Instant> {
+    pub(super) fn oldest_idle_since(&self) -> Option<Instant> {
         self.0.first().map(|idle| idle.since)
     }
 
@@ -49,7 +49,7 @@
 
     /// Removes and returns the most recently used connection whose idle time is at least
     /// [`MIN_IDLE_BEFORE_REUSE`] and at most `max_idle`.
-    pub(super) fn take_settled(&mut self, max_idle: Duration) -> Option<Connection> {
+    pub(super) fn take_reusable(&mut self, max_idle: Duration) -> Option<Connection> {
         let reusable = MIN_IDLE_BEFORE_REUSE..=max_idle;
         let position = self.0.iter().rposition(|idle| reusable.contains(&idle.since.elapsed()))?;
         Some(self.0.remove(position).connection)
--- a/src/upstream/load_report.rs
+++ b/src/upstream/load_report.rs
@@ -6,10 +6,10 @@
 use crate::scheduler::{LoadReport, Micros};
 
 /// Header with the endpoint's load.
-const SERVER_LOAD: &str = "server-load";
+const SERVER_LOAD_HEADER: &str = "server-load";
 
 /// Endpoints report the tokens queued for prefill in thousands.
-const TOKENS_PER_REPORTED_UNIT: f64 = 1_000.0;
+const TOKENS_PER_KILOTOKEN: f64 = 1_000.0;
 
 /// Endpoints report their latency in milliseconds.
 const MICROS_PER_MILLI: f64 = 1_000.0;
@@ -33,7 +33,7 @@
 
 /// Returns the load report in a response head, if there is one that can be parsed.
 pub(super) fn from_headers(headers: &HeaderMap) -> Option<LoadReport> {
-    parse(headers.get(SERVER_LOAD)?.as_bytes())
+    parse(headers.get(SERVER_LOAD_HEADER)?.as_bytes())
 }
 
 /// Parses a load report. Returns `None` if the text is not one.
@@ -45,6 +45,8 @@
         slot_utilization: report.slot_utilization,
         recent_latency: report.recent_latency_ms.map(|millis| (millis * MICROS_PER_MILLI) as Micros),
         memory_utilization: report.memory_utilization,
-        queued_prefill_tokens: report.queued_prefill_kilotokens.map(|k| k * TOKENS_PER_REPORTED_UNIT),
+        queued_prefill_tokens: report
+            .queued_prefill_kilotokens
+            .map(|kilotokens| kilotokens * TOKENS_PER_KILOTOKEN),
     })
 }
--- a/src/upstream/release.rs
+++ b/src/upstream/release.rs
@@ -13,7 +13,7 @@
 /// Time for an endpoint to accept the call before the next endpoint is called in parallel. Most of the
 /// reservation limit has passed when the scheduler requests a release, so one silent endpoint must not use up
 /// the rest.
-const NEXT_ENDPOINT_INTERVAL: Duration = Duration::from_millis(50);
+const HEDGING_DELAY: Duration = Duration::from_millis(50);
 
 /// Maximum time for one endpoint to accept the call. Calls to several endpoints overlap, so it can be much
 /// longer than the interval between them.
@@ -46,10 +46,10 @@
     /// endpoint.
     fn call_next(&mut self) {
         if self.remaining.is_empty() {
-            self.remaining = self.upstream.pool().by_reachability().into();
+            self.remaining = self.upstream.pool().endpoints_by_reachability().into();
         }
         let Some(endpoint) = self.remaining.pop_front() else { return };
-        self.in_flight.spawn_local(call(self.upstream.clone(), endpoint, self.request_id.clone()));
+        self.in_flight.spawn_local(call_endpoint(self.upstream.clone(), endpoint, self.request_id.clone()));
     }
 
     /// Waits until `deadline` for the next call to end. Returns `None` if none does.
@@ -61,19 +61,19 @@
     }
 
     /// Returns whether no call is in flight although endpoints remain in this round.
-    fn can_proceed_at_once(&self) -> bool {
+    fn should_call_next(&self) -> bool {
         self.in_flight.is_empty() && !self.remaining.is_empty()
     }
 
     /// Waits until `deadline` for an endpoint to accept the call. Returns `None` earlier if the next endpoint
     /// should be called.
-    async fn accepted_by(&mut self, deadline: Instant) -> Option<EndpointId> {
+    async fn wait_for_acceptance(&mut self, deadline: Instant) -> Option<EndpointId> {
         while let Some(result) = self.next_result(deadline).await {
             if result.accepted {
                 return Some(result.endpoint);
             }
             // There is a pause only between rounds.
-            if self.can_proceed_at_once() {
+            if self.should_call_next() {
                 return None;
             }
         }
@@ -81,7 +81,7 @@
     }
 }
 
-async fn call(upstream: Rc<Upstream>, endpoint: EndpointId, request_id: Rc<str>) -> CallResult {
+async fn call_endpoint(upstream: Rc<Upstream>, endpoint: EndpointId, request_id: Rc<str>) -> CallResult {
     let release = upstream.release_at(endpoint, &request_id);
     let accepted = timeout(RELEASE_CALL_TIMEOUT, release).await.unwrap_or(false);
     if !accepted {
@@ -97,8 +97,8 @@
     let mut calls = ReleaseCalls::new(upstream, request_id);
     while Instant::now() < deadline {
         calls.call_next();
-        let next_call_at = Instant::now() + NEXT_ENDPOINT_INTERVAL;
-        if let Some(endpoint) = calls.accepted_by(next_call_at).await {
+        let next_call_at = Instant::now() + HEDGING_DELAY;
+        if let Some(endpoint) = calls.wait_for_acceptance(next_call_at).await {
             tracing::debug!(request_id = %calls.request_id, endpoint = endpoint.0, "reservation released");
             calls.upstream.counters().releases.increment();
             return;
--- a/src/upstream/request_head.rs
+++ b/src/upstream/request_head.rs
@@ -8,10 +8,10 @@
 use crate::upstream::exchange::{IDEMPOTENCY_KEY, RequestPayload, UpstreamProtocol};
 
 /// Header with the id that identifies the request to endpoints.
-const REQUEST_ID: &str = "request-id";
+const REQUEST_ID_HEADER: &str = "request-id";
 
 /// Header with the time in milliseconds for which the router waits for the response.
-const REQUEST_TIMEOUT: &str = "request-timeout-ms";
+const REQUEST_TIMEOUT_HEADER: &str = "request-timeout-ms";
 
 /// Sets the head of an attempt's request, except for the timeout header.
 pub(super) fn fill<B>(
@@ -25,7 +25,7 @@
         headers.extend(extra_headers.clone());
     }
     insert_host(headers, address);
-    insert_if_present(headers, REQUEST_ID, HeaderValue::from_str(&payload.id).ok());
+    insert_if_present(headers, REQUEST_ID_HEADER, HeaderValue::from_str(&payload.id).ok());
     insert_if_present(headers, CONTENT_TYPE.as_str(), payload.content_type.clone());
     insert_if_present(headers, IDEMPOTENCY_KEY, payload.idempotency_key.clone());
 }
@@ -34,7 +34,7 @@
 pub(super) fn insert_timeout(headers: &mut HeaderMap, response_deadline: Instant) {
     let remaining = response_deadline.saturating_duration_since(Instant::now());
     let remaining_ms = remaining.as_millis() as u64;
-    headers.insert(REQUEST_TIMEOUT, remaining_ms.max(1).into());
+    headers.insert(REQUEST_TIMEOUT_HEADER, remaining_ms.max(1).into());
 }
 
 /// Sets the `Host` header to the endpoint's address.
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -21,7 +21,7 @@
 pub(super) const FAILURE_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Header with which the platform's endpoints declare that a rejected request was not executed.
-const NOT_STARTED: &str = "not-started";
+const NOT_STARTED_HEADER: &str = "not-started";
 
 /// How a response is handled.
 pub(super) enum ResponseClass {
@@ -77,7 +77,7 @@
 
 fn excludes_execution(protocol: &UpstreamProtocol, status: StatusCode, headers: &HeaderMap) -> bool {
     match protocol {
-        UpstreamProtocol::Platform => headers.get(NOT_STARTED).is_some_and(|value| value == "1"),
+        UpstreamProtocol::Platform => headers.get(NOT_STARTED_HEADER).is_some_and(|value| value == "1"),
         // Public endpoints guarantee only for a 429 that the request was not executed. A 503 may be sent
         // after execution has started.
         UpstreamProtocol::Chat(_) => status == StatusCode::TOO_MANY_REQUESTS,
--- a/src/upstream/send_gate.rs
+++ b/src/upstream/send_gate.rs
@@ -43,7 +43,7 @@
     pub start_deadline: Option<Instant>,
     /// Whether a reservation is held for the request until the attempt arrives. The attempt then requires a
     /// verified connection.
-    pub reserved: bool,
+    pub has_reservation: bool,
 }
 
 /// Admits the attempts of one request, one at a time.
--- a/src/upstream/write_progress.rs
+++ b/src/upstream/write_progress.rs
@@ -42,13 +42,13 @@
         self.0.set(WriteState::Pending);
     }
 
-    fn body_buffered(&self) {
+    fn mark_buffered(&self) {
         self.0.set(WriteState::Buffered);
     }
 
     /// hyper flushes the socket only when its own buffer is empty, so a flush after the body was passed to it
     /// means that the last byte has been written.
-    fn socket_flushed(&self) {
+    fn mark_flushed(&self) {
         if self.0.get() == WriteState::Buffered {
             self.0.set(WriteState::Flushed);
         }
@@ -82,7 +82,7 @@
     fn poll_frame(
         mut self: Pin<&mut Self>, _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.progress.body_buffered();
+        self.progress.mark_buffered();
         Poll::Ready(self.data.take().map(|data| Ok(Frame::data(data))))
     }
 
@@ -134,7 +134,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.socket).poll_flush(cx);
         if matches!(flushed, Poll::Ready(Ok(()))) {
-            self.progress.socket_flushed();
+            self.progress.mark_flushed();
         }
         flushed
     }
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -161,7 +161,7 @@
         let deadlines = AttemptDeadlines {
             response_deadline: Instant::now() + PATIENCE,
             start_deadline,
-            reserved: false,
+            has_reservation: false,
         };
         let response = upstream.run_attempt(EndpointId(PREFILL), &payload(), deadlines, &gate).await.response;
         let AttemptResponse::Finished(outcome) = response else { panic!("unexpected response") };
@@ -234,8 +234,11 @@
         let _accepted = listener.accept().await.expect("accept the connection that occupies the pool");
         let gate = SendGate::new(context.counters.clone());
         let start_deadline = Some(Instant::now() + Duration::from_millis(50));
-        let deadlines =
-            AttemptDeadlines { response_deadline: Instant::now() + PATIENCE, start_deadline, reserved: true };
+        let deadlines = AttemptDeadlines {
+            response_deadline: Instant::now() + PATIENCE,
+            start_deadline,
+            has_reservation: true,
+        };
         let endpoint = EndpointId(PREFILL);
         let attempt =
             async { context.upstream.run_attempt(endpoint, &payload(), deadlines, &gate).await.response };
