--- a/tests/client_connection.rs
+++ b/tests/client_connection.rs
@@ -18,43 +18,44 @@
 use tokio::time::{sleep, timeout};
 
 /// Limit for every wait in these tests, far above the time that a passing test needs.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Number of yields to the runtime after which all work that is ready has been done.
-const TURNS: u32 = 1_000;
+const MAX_YIELDS: u32 = 1_000;
 /// Longer than the small pipe's buffer, so that it is written out only when the client reads.
-const ANSWER: &str = "a response of more than sixty-four bytes, which does not fit into the small test pipe";
+const RESPONSE_BODY: &str =
+    "a response of more than sixty-four bytes, which does not fit into the small test pipe";
 /// A request without a body.
 const GET: &str = "GET /x HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
-/// Answers every request with [`ANSWER`].
+/// Answers every request with [`RESPONSE_BODY`].
 #[derive(Clone)]
-struct FixedAnswer;
+struct FixedResponse;
 
-impl RequestHandler for FixedAnswer {
+impl RequestHandler for FixedResponse {
     fn counters(&self) -> Rc<Counters> {
         Rc::default()
     }
 
     async fn handle(self, mut request: Request<Incoming>) -> ServerResponse {
         let _ = request.body_mut().collect().await;
-        Response::new(Either::Left(Full::new(Bytes::from_static(ANSWER.as_bytes()))))
+        Response::new(Either::Left(Full::new(Bytes::from_static(RESPONSE_BODY.as_bytes()))))
     }
 }
 
-/// Serves a connection over a pipe of `pipe` bytes. Returns the client's end and the connection's state.
-fn connect(limiter: &Rc<ConnectionLimiter>, pipe: usize) -> (DuplexStream, Rc<ClientState>) {
-    let (client, server) = tokio::io::duplex(pipe);
+/// Serves a connection over a pipe of `pipe_size` bytes. Returns the client's end and the connection's state.
+fn connect(limiter: &Rc<ConnectionLimiter>, pipe_size: usize) -> (DuplexStream, Rc<ClientState>) {
+    let (client, server) = tokio::io::duplex(pipe_size);
     let shutdown = Shutdown::default();
     let guard = ConnectionGuard { slot: limiter.register(), shutdown: shutdown.guard() };
     let state = guard.slot.client.clone();
-    spawn_local(serve_connection(server, FixedAnswer, shutdown, guard));
+    spawn_local(serve_connection(server, FixedResponse, shutdown, guard));
     (client, state)
 }
 
-async fn read_answer(client: &mut DuplexStream) {
+async fn read_response(client: &mut DuplexStream) {
     let mut text = Vec::new();
-    while !String::from_utf8_lossy(&text).ends_with(ANSWER) {
-        let read = timeout(PATIENCE, client.read_buf(&mut text))
+    while !String::from_utf8_lossy(&text).ends_with(RESPONSE_BODY) {
+        let read = timeout(WAIT_TIMEOUT, client.read_buf(&mut text))
             .await
             .expect("data or end of stream before the timeout");
         assert_ne!(
@@ -67,7 +68,7 @@
 }
 
 async fn wait_for_stage(state: &ClientState, expected: ConnectionStage) {
-    for _ in 0..TURNS {
+    for _ in 0..MAX_YIELDS {
         if state.stage() == expected {
             return;
         }
@@ -82,25 +83,25 @@
 }
 
 #[test]
-fn a_connection_makes_no_room_for_others_before_its_answer_is_written() {
+fn a_connection_is_not_evicted_before_its_response_is_written() {
     run(async {
         let limiter = ConnectionLimiter::new(1, 1_024);
         let (mut client, state) = connect(&limiter, 64);
         client.write_all(GET.as_bytes()).await.expect("pipe is open");
         wait_for_stage(&state, ConnectionStage::Flushing).await;
         let _other = limiter.register();
-        read_answer(&mut client).await;
+        read_response(&mut client).await;
         // After the response has been written, the connection is idle and is evicted for the next one.
         wait_for_stage(&state, ConnectionStage::Idle).await;
         let _next = limiter.register();
         let read =
-            timeout(PATIENCE, client.read_u8()).await.expect("connection is closed before the timeout");
+            timeout(WAIT_TIMEOUT, client.read_u8()).await.expect("connection is closed before the timeout");
         assert!(read.is_err(), "the idle connection was not evicted");
     });
 }
 
 #[test]
-fn a_connection_whose_final_answer_has_just_been_written_makes_no_room_for_others() {
+fn a_connection_is_not_evicted_right_after_its_last_response_is_written() {
     run(async {
         let limiter = ConnectionLimiter::new(1, 1_024);
         let (mut client, state) = connect(&limiter, 4_096);
@@ -130,18 +131,18 @@
     run(async {
         let (mut client, _state) = connect(&ConnectionLimiter::new(9, 1_024), 4_096);
         client.write_all(GET.as_bytes()).await.expect("pipe is open");
-        read_answer(&mut client).await;
+        read_response(&mut client).await;
         // Each pause is shorter than the idle timeout, but their sum is longer.
         sleep(Duration::from_millis(1_900)).await;
         client.write_all(&GET.as_bytes()[..20]).await.expect("pipe is open");
         sleep(Duration::from_millis(1_900)).await;
         client.write_all(&GET.as_bytes()[20..]).await.expect("pipe is open");
-        read_answer(&mut client).await;
+        read_response(&mut client).await;
     });
 }
 
 #[test]
-fn a_client_that_sends_nothing_or_an_incomplete_head_is_closed_within_three_seconds() {
+fn a_client_that_sends_nothing_or_an_incomplete_head_is_disconnected_within_three_seconds() {
     run(async {
         for first in ["", "GET /x HT"] {
             let (mut client, _state) = connect(&ConnectionLimiter::new(9, 1_024), 4_096);
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -10,16 +10,16 @@
 use common::stubbed_router::StubbedRouter;
 
 #[test]
-fn a_client_that_pipelines_a_request_and_disconnects_is_noticed() {
+fn a_disconnect_after_a_pipelined_request_is_detected() {
     let mut router = StubbedRouter::start(&[]);
-    let mut leaving = router.client();
-    leaving.send(&(request("p1", "climb-query", 6_000) + &request("p2", "climb-query", 6_000)));
-    let mut received = router.prefill_stub.accept();
-    assert_eq!(received.read_message().header("request-id"), Some("p1"));
-    leaving.close();
+    let mut client = router.client();
+    client.send(&(request("p1", "climb-query", 6_000) + &request("p2", "climb-query", 6_000)));
+    let mut prefill = router.prefill_stub.accept();
+    assert_eq!(prefill.read_message().header("request-id"), Some("p1"));
+    client.close();
     router.process.wait_for_log("client disconnected request_id=p1");
     // The attempt is cancelled: its connection is closed, and only the release of its reservation is sent.
-    assert_eq!(received.read_to_end_or_reset(), "");
+    assert_eq!(prefill.read_to_end_or_reset(), "");
     router.process.wait_for_log("releasing reservation request_id=p1");
     let log = router.process.terminate();
     assert!(log.contains("\"taken\":1,"), "{log}");
@@ -31,13 +31,13 @@
 fn nothing_is_sent_for_a_client_that_disconnects_between_two_attempts() {
     // Cancellation is disabled, so an attempt in flight continues after its client has disconnected.
     let mut router = StubbedRouter::start(&[("\"cancelling\": true", "\"cancelling\": false")]);
-    let mut leaving = router.client();
-    leaving.send(&request("b1", "climb-query", 6_000));
-    let mut received = router.prefill_stub.accept();
-    received.read_message();
-    leaving.close();
+    let mut client = router.client();
+    client.send(&request("b1", "climb-query", 6_000));
+    let mut prefill = router.prefill_stub.accept();
+    prefill.read_message();
+    client.close();
     router.process.wait_for_log("client disconnected request_id=b1");
-    received.send(PREFILLED);
+    prefill.send(PREFILLED);
     // The reservation is released on the same or another connection, and no request is sent to the decode
     // endpoint.
     router.process.wait_for_log("releasing reservation request_id=b1");
@@ -51,10 +51,10 @@
     let prefill_stub = StubListener::endpoint(&base, "r1");
     // No decode endpoint is known, so the request is queued.
     let mut router = start_router(&base, &["r1"], &[]);
-    let mut leaving = connect_client(&base);
-    leaving.send(&request("q1", "climb-query", 6_000));
+    let mut client = connect_client(&base);
+    client.send(&request("q1", "climb-query", 6_000));
     router.process.wait_for_log("request accepted request_id=q1");
-    leaving.close();
+    client.close();
     router.process.wait_for_log("client disconnected request_id=q1");
     let _decode_stub = StubListener::endpoint(&base, "w1");
     let added = endpoint_list(2, false, &[endpoint_entry(&base, "w1", "Ready")]);
--- a/tests/connection_races.rs
+++ b/tests/connection_races.rs
@@ -15,10 +15,10 @@
 /// client.
 const LARGE_EVENT_COUNT: usize = 600;
 /// Size of each large event, in bytes.
-const LARGE_EVENT_LENGTH: usize = 32_768;
+const LARGE_EVENT_SIZE: usize = 32_768;
 
 #[test]
-fn an_idle_connection_that_ends_as_it_is_reused_costs_no_request() {
+fn a_request_does_not_fail_when_an_idle_connection_ends_in_a_partial_response() {
     let router = StubbedRouter::start(&[]);
     let mut first = router.client();
     first.send(&request("k1", "climb-query", 6_000));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn half_a_status_line_and_a_close_are_followed_by_one_more_attempt() {
+fn a_partial_status_line_and_a_close_are_followed_by_another_attempt() {
     let router = StubbedRouter::start(&[]);
     let mut client = router.client();
     client.send(&request("l1", "climb-query", 6_000));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_rejection_whose_body_never_ends_is_followed_by_the_next_attempt_at_once() {
+fn a_rejection_with_an_incomplete_body_does_not_delay_the_next_attempt() {
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stubs = [StubListener::endpoint(&base, "w1"), StubListener::endpoint(&base, "w2")];
@@ -80,11 +80,11 @@
     let mut client = connect_client(&base);
     client.send(&request("u1", "climb-query", 6_000));
     let _prefill = answer_prefill(&prefill_stub, "u1");
-    let (rejecting, mut endless) = StubListener::accept_any(&[&decode_stubs[0], &decode_stubs[1]]);
-    endless.read_message();
-    endless.send("HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 9\r\n\r\nfu");
+    let (rejecting_index, mut rejecting) = StubListener::accept_any(&[&decode_stubs[0], &decode_stubs[1]]);
+    rejecting.read_message();
+    rejecting.send("HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 9\r\n\r\nfu");
     router.process.wait_for_log("attempt=1 outcome=Rejected");
-    let mut stream = start_stream(&decode_stubs[1 - rejecting], "u1");
+    let mut stream = start_stream(&decode_stubs[1 - rejecting_index], "u1");
     stream.send(STREAM_END);
     client.read_until("0\r\n\r\n");
     client.close();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_answer_that_is_no_event_stream_is_not_forwarded() {
+fn a_response_that_is_not_an_event_stream_is_not_forwarded() {
     let router = StubbedRouter::start(&[]);
     let mut client = router.client();
     client.send(&request("n1", "climb-query", 6_000));
@@ -141,7 +141,7 @@
     let mut stream = start_stream(&router.decode_stub, "l1");
     slow.read_until("data: {\"n\":1}\n\n");
     let stream_writer = std::thread::spawn(move || {
-        let event = format!("data: {}\n\n", "x".repeat(LARGE_EVENT_LENGTH - 8));
+        let event = format!("data: {}\n\n", "x".repeat(LARGE_EVENT_SIZE - 8));
         for _ in 0..LARGE_EVENT_COUNT {
             stream.send(&format!("{:x}\r\n{event}\r\n", event.len()));
         }
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -28,14 +28,14 @@
 /// Time for bytes already in transit over loopback to arrive.
 const LOOPBACK_DELAY: Duration = Duration::from_millis(200);
 /// Limit for every wait in these tests, far above the time that a passing test needs.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Returns the context of a router with one prefill and one decode endpoint, both at the listener's address.
 /// The pool allows a single connection, and attempts cannot be cancelled.
 fn routing_context(listener: &TcpListener) -> RoutingContext {
     let mut settings = settings();
     settings.capabilities.cancellation = false;
-    let limits = PoolLimits { connect_timeout: PATIENCE, idle_timeout: PATIENCE, max_connections: 1 };
+    let limits = PoolLimits { connect_timeout: WAIT_TIMEOUT, idle_timeout: WAIT_TIMEOUT, max_connections: 1 };
     let counters = Rc::new(Counters::default());
     let pool = Rc::new(ConnectionPool::new(limits, counters.clone()));
     let addr = listener.local_addr().expect("listener is bound");
@@ -108,7 +108,7 @@
     drop(occupying);
     tokio::select! {
         received = first_bytes_of_next_connection(listener) => received,
-        finished = timeout(PATIENCE, request_task) => {
+        finished = timeout(WAIT_TIMEOUT, request_task) => {
             finished.expect("task ends before the timeout").expect("task does not panic");
             Vec::new()
         }
@@ -134,7 +134,7 @@
         spawn_local(run_request(context.clone(), request_spec(1), allocated_payload(), responder));
     wait_for_first_attempt(&context).await;
     drop(response);
-    timeout(PATIENCE, request_task)
+    timeout(WAIT_TIMEOUT, request_task)
         .await
         .expect("task ends before the timeout")
         .expect("task does not panic");
@@ -159,7 +159,7 @@
     let attempt = spawn_local(async move {
         let gate = SendGate::new(counters);
         let deadlines = AttemptDeadlines {
-            response_deadline: Instant::now() + PATIENCE,
+            response_deadline: Instant::now() + WAIT_TIMEOUT,
             start_deadline,
             has_reservation: false,
         };
@@ -172,8 +172,10 @@
     drop(occupying);
     let endpoint_address = listener.local_addr().expect("listener is bound");
     let written = spawn_local(first_bytes_of_next_connection(listener));
-    let outcome =
-        timeout(PATIENCE, attempt).await.expect("task ends before the timeout").expect("task does not panic");
+    let outcome = timeout(WAIT_TIMEOUT, attempt)
+        .await
+        .expect("task ends before the timeout")
+        .expect("task does not panic");
     // Close the connections so that the read on the endpoint's side ends.
     context.upstream.pool().set_address(EndpointId(PREFILL), None);
     // An attempt past its start deadline may not have connected at all. This connection arrives after any
@@ -181,7 +183,10 @@
     drop(TcpStream::connect(endpoint_address).await);
     (
         outcome,
-        timeout(PATIENCE, written).await.expect("task ends before the timeout").expect("task does not panic"),
+        timeout(WAIT_TIMEOUT, written)
+            .await
+            .expect("task ends before the timeout")
+            .expect("task does not panic"),
     )
 }
 
@@ -235,14 +240,14 @@
         let gate = SendGate::new(context.counters.clone());
         let start_deadline = Some(Instant::now() + Duration::from_millis(50));
         let deadlines = AttemptDeadlines {
-            response_deadline: Instant::now() + PATIENCE,
+            response_deadline: Instant::now() + WAIT_TIMEOUT,
             start_deadline,
             has_reservation: true,
         };
         let endpoint = EndpointId(PREFILL);
         let attempt =
             async { context.upstream.run_attempt(endpoint, &payload(), deadlines, &gate).await.response };
-        match timeout(PATIENCE / 10, attempt).await {
+        match timeout(WAIT_TIMEOUT / 10, attempt).await {
             Ok(AttemptResponse::Finished(outcome)) => Some(outcome),
             _ => None,
         }
--- a/tests/silent_endpoints.rs
+++ b/tests/silent_endpoints.rs
@@ -12,9 +12,9 @@
 use common::stub_listener::StubListener;
 
 /// Longer than any sequence of calls that time out one after another.
-const SILENCE: Duration = Duration::from_millis(900);
+const SILENCE_DURATION: Duration = Duration::from_millis(900);
 /// The response to the release of a reservation.
-const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+const RELEASE_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
 /// Reads a prefill request on a connection and answers it.
 fn answer_prefill(connection: &mut Connection, id: &str) {
@@ -29,29 +29,29 @@
     let names = ["w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"];
     let decode_stubs = names.map(|name| StubListener::endpoint(&base, name));
     let mut router = start_router(&base, &[&["r1"], &names[..]].concat(), &[]);
-    let mut leaving = connect_client(&base);
-    leaving.send(&request("v1", "climb-query", 6_000));
+    let mut client = connect_client(&base);
+    client.send(&request("v1", "climb-query", 6_000));
     let mut prefill = prefill_stub.accept();
     answer_prefill(&mut prefill, "v1");
-    let all: Vec<&StubListener> = decode_stubs.iter().collect();
-    let (_, mut silent) = StubListener::accept_any(&all);
+    let listeners: Vec<&StubListener> = decode_stubs.iter().collect();
+    let (_, mut silent) = StubListener::accept_any(&listeners);
     silent.read_message();
-    leaving.close();
+    client.close();
     router.process.wait_for_log("releasing reservation request_id=v1");
-    std::thread::sleep(SILENCE);
+    std::thread::sleep(SILENCE_DURATION);
     // From here on, calls are answered.
     while router.process.has_not_logged("reservation released request_id=v1") {
-        if let Some(mut call) = StubListener::accept_soon(&all)
-            && call.read_message_or_end().is_some_and(|received| received.head.starts_with("DELETE"))
+        if let Some(mut connection) = StubListener::accept_soon(&listeners)
+            && connection.read_message_or_end().is_some_and(|received| received.head.starts_with("DELETE"))
         {
-            call.send_ignoring_close(RELEASED);
+            connection.send_ignoring_close(RELEASE_RESPONSE);
         }
     }
     router.process.terminate();
 }
 
 #[test]
-fn a_prefilled_request_is_not_sent_over_a_connection_that_may_have_fallen_silent() {
+fn a_prefilled_request_is_not_sent_over_an_unverified_connection() {
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
@@ -66,13 +66,13 @@
     idle.send(STREAM_END);
     client.read_until("0\r\n\r\n");
     // From here on, nobody responds on the idle connection, and it reports no error.
-    std::thread::sleep(SILENCE);
+    std::thread::sleep(SILENCE_DURATION);
     client.send(&request("k2", "climb-query", 6_000));
     answer_prefill(&mut prefill, "k2");
-    let mut fresh = decode_stub.accept();
-    assert_eq!(fresh.read_message().header("request-id"), Some("k2"));
-    fresh.send(STREAM_START);
-    fresh.send(STREAM_END);
+    let mut new_connection = decode_stub.accept();
+    assert_eq!(new_connection.read_message().header("request-id"), Some("k2"));
+    new_connection.send(STREAM_START);
+    new_connection.send(STREAM_END);
     client.read_until("0\r\n\r\n");
     let log = router.process.terminate();
     assert!(!log.contains("TimedOut"), "{log}");
