--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -7,7 +7,7 @@
 use super::responder::RoutedResponse;
 use crate::scheduler::Outcome;
 use crate::scheduler_handle::{RequestCommand, RequestHandle};
-use crate::upstream::event_stream::{EventStream, StreamBroken, StreamChunk};
+use crate::upstream::event_stream::{EventStream, StreamChunk, StreamError};
 
 /// Number of chunks buffered for a slow client. When the buffer is full, the endpoint's connection is not
 /// read, so back-pressure reaches the endpoint and the router's memory use stays bounded.
@@ -18,7 +18,7 @@
     /// The stream is complete.
     Complete,
     /// The stream broke.
-    Broken(StreamBroken),
+    Broken(StreamError),
     /// The stream ended with an error event from the endpoint.
     ReportedError,
     /// The client disconnected.
@@ -65,8 +65,8 @@
             result = forward_events(&mut events, &client) => result,
             () = wait_for_migration(&mut self.scheduler) => {
                 // The client resumes the stream with another request.
-                let _ = client.try_send(Err(StreamBroken::Cut));
-                ForwardResult::Broken(StreamBroken::Cut)
+                let _ = client.try_send(Err(StreamError::Interrupted));
+                ForwardResult::Broken(StreamError::Interrupted)
             }
         };
         // Close the endpoint's side first.
@@ -81,11 +81,11 @@
                 self.context.counters.completed.increment();
                 Outcome::Completed
             }
-            ForwardResult::Broken(broken) => {
+            ForwardResult::Broken(error) => {
                 self.context.counters.interrupted.increment();
-                match broken {
-                    StreamBroken::Malformed => Outcome::Malformed,
-                    StreamBroken::Cut => Outcome::ConnectionLost,
+                match error {
+                    StreamError::Malformed => Outcome::Malformed,
+                    StreamError::Interrupted => Outcome::ConnectionLost,
                 }
             }
             ForwardResult::ReportedError => {
@@ -115,13 +115,13 @@
                     return ForwardResult::ClientDisconnected;
                 }
             }
-            Some(Err(broken)) => {
+            Some(Err(error)) => {
                 // If the channel is full because the client is slow, the error waits for capacity, but a
                 // client disconnect still ends the wait.
-                if client.send(Err(broken)).await.is_err() {
+                if client.send(Err(error)).await.is_err() {
                     return ForwardResult::ClientDisconnected;
                 }
-                return ForwardResult::Broken(broken);
+                return ForwardResult::Broken(error);
             }
             None if events.reported_error() => return ForwardResult::ReportedError,
             None => return ForwardResult::Complete,
--- a/src/server/stream_body.rs
+++ b/src/server/stream_body.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 use super::connection_state::ClientState;
-use crate::upstream::event_stream::{StreamBroken, StreamChunk};
+use crate::upstream::event_stream::{StreamChunk, StreamError};
 
 /// A response body that forwards chunks as they arrive and fails where the stream broke, which closes the
 /// connection.
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// The stream broke before its end.
-    pub async fn collect(mut self) -> Result<Bytes, StreamBroken> {
+    pub async fn collect(mut self) -> Result<Bytes, StreamError> {
         let mut collected = BytesMut::new();
         while let Some(chunk) = self.chunks.recv().await {
             collected.extend_from_slice(&chunk?);
@@ -54,11 +54,11 @@
 
 impl Body for StreamBody {
     type Data = Bytes;
-    type Error = StreamBroken;
+    type Error = StreamError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         self.chunks.poll_recv(cx).map(|next| next.map(|chunk| chunk.map(Frame::data)))
     }
 }
--- a/src/upstream/event_stream.rs
+++ b/src/upstream/event_stream.rs
@@ -58,17 +58,17 @@
 
 /// The stream ended before it was complete. The client must be able to detect this on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum StreamBroken {
+pub enum StreamError {
     /// The connection was lost or the endpoint stopped sending.
     #[error("the stream was interrupted before its end")]
-    Cut,
+    Interrupted,
     /// The endpoint sent data that is not a valid event stream.
     #[error("the stream contains malformed data")]
     Malformed,
 }
 
 /// A chunk of a stream, or the error that ended the stream.
-pub type StreamChunk = Result<Bytes, StreamBroken>;
+pub type StreamChunk = Result<Bytes, StreamError>;
 
 /// A streaming response from an endpoint. Dropping it closes the connection.
 pub struct EventStream {
@@ -117,8 +117,8 @@
                 self.first_events = Some(events);
                 Ok(())
             }
-            Some(Err(StreamBroken::Malformed)) => Err(Outcome::Malformed),
-            Some(Err(StreamBroken::Cut)) | None => Err(Outcome::ConnectionLost),
+            Some(Err(StreamError::Malformed)) => Err(Outcome::Malformed),
+            Some(Err(StreamError::Interrupted)) | None => Err(Outcome::ConnectionLost),
         }
     }
 
@@ -159,7 +159,7 @@
             match self.complete_events(data) {
                 Ok(events) if events.is_empty() => {}
                 Ok(events) => return Some(Ok(events)),
-                Err(MalformedEvents) => return self.fail(StreamBroken::Malformed),
+                Err(MalformedEvents) => return self.fail(StreamError::Malformed),
             }
         }
     }
@@ -174,7 +174,7 @@
     /// Handles the end of the body: returns the connection to the pool if the stream is complete.
     fn handle_end_of_body(&mut self) -> Option<StreamChunk> {
         if !self.framer.as_mut().is_none_or(EventFramer::is_complete_at_end) {
-            return self.fail(StreamBroken::Cut);
+            return self.fail(StreamError::Interrupted);
         }
         self.ended = true;
         if let Some(connection) = self.connection.take() {
@@ -189,28 +189,28 @@
         if !self.reported_error() {
             self.pool.invalidate(self.endpoint);
         }
-        self.fail_unless_error_reported(StreamBroken::Cut)
+        self.fail_unless_error_reported(StreamError::Interrupted)
     }
 
     /// Ends a broken stream. After an error event the client already has its response, so no error is added.
-    fn fail_unless_error_reported(&mut self, broken: StreamBroken) -> Option<StreamChunk> {
+    fn fail_unless_error_reported(&mut self, error: StreamError) -> Option<StreamChunk> {
         if self.reported_error() {
             self.ended = true;
             return None;
         }
-        self.fail(broken)
+        self.fail(error)
     }
 
-    fn fail(&mut self, broken: StreamBroken) -> Option<StreamChunk> {
+    fn fail(&mut self, error: StreamError) -> Option<StreamChunk> {
         self.ended = true;
         self.connection = None;
-        Some(Err(broken))
+        Some(Err(error))
     }
 }
 
 /// Classifies a body error as malformed HTTP or as a lost connection.
-fn classify_body_error(error: &hyper::Error) -> StreamBroken {
+fn classify_body_error(error: &hyper::Error) -> StreamError {
     let io_kind = error.source().and_then(|source| source.downcast_ref::<io::Error>()).map(io::Error::kind);
     let is_invalid = matches!(io_kind, Some(io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData));
-    if error.is_parse() || is_invalid { StreamBroken::Malformed } else { StreamBroken::Cut }
+    if error.is_parse() || is_invalid { StreamError::Malformed } else { StreamError::Interrupted }
 }
