--- a/src/request/responder.rs
+++ b/src/request/responder.rs
@@ -3,14 +3,14 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::scheduler::Micros;
-use crate::upstream::event_stream::{ContentKind, StreamChunk};
+use crate::upstream::event_stream::{ResponseHead, StreamChunk};
 
 /// A request's final answer, which the API encodes in its own protocol.
 pub enum RoutedResponse {
     /// The response of an endpoint: a stream or a single body.
     Body {
         /// The status and content type.
-        kind: ContentKind,
+        head: ResponseHead,
         /// The body's bytes as they arrive.
         chunks: mpsc::Receiver<StreamChunk>,
     },
--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -57,8 +57,8 @@
     /// the stream is closed on both sides.
     async fn forward_to_client(&mut self, mut events: Box<EventStream>) -> ForwardResult {
         let (client, chunks) = mpsc::channel(MAX_WAITING_CHUNKS);
-        let kind = events.kind().clone();
-        if self.settled || !self.responder.respond(RoutedResponse::Body { kind, chunks }) {
+        let head = events.head().clone();
+        if self.settled || !self.responder.respond(RoutedResponse::Body { head, chunks }) {
             return ForwardResult::ClientDisconnected;
         }
         let result = tokio::select! {
--- a/src/server/chat_api/mod.rs
+++ b/src/server/chat_api/mod.rs
@@ -176,12 +176,12 @@
 /// The response to a request that was routed.
 async fn routed_response(routed: RoutedResponse, is_unary: bool) -> ServerResponse {
     match routed {
-        RoutedResponse::Body { kind, chunks } if !is_unary && kind.is_event_stream() => {
-            stream_response(kind.content_type, chunks)
+        RoutedResponse::Body { head, chunks } if !is_unary && head.is_event_stream() => {
+            stream_response(head.content_type, chunks)
         }
         // A client must not see the head of a single response before all of it has arrived.
-        RoutedResponse::Body { kind, chunks } => match StreamBody::new(chunks).collect().await {
-            Ok(body) => complete_response(kind.status, kind.content_type, body),
+        RoutedResponse::Body { head, chunks } => match StreamBody::new(chunks).collect().await {
+            Ok(body) => complete_response(head.status, head.content_type, body),
             Err(_) => ChatError::Failed.to_response(),
         },
         RoutedResponse::Rejected { retry_after } => ChatError::Rejected { retry_after }.to_response(),
--- a/src/server/platform_api/mod.rs
+++ b/src/server/platform_api/mod.rs
@@ -127,9 +127,9 @@
         let payload = payload(&request, id, body.bytes)?;
         let admitted = AdmittedRequest { spec, payload, allocation: body.allocation, guard: open_request };
         Ok(match self.context.start_request(admitted).await {
-            Ok(RoutedResponse::Body { kind, chunks }) => {
+            Ok(RoutedResponse::Body { head, chunks }) => {
                 let event_stream = HeaderValue::from_static("text/event-stream");
-                stream_response(Some(kind.content_type.unwrap_or(event_stream)), chunks)
+                stream_response(Some(head.content_type.unwrap_or(event_stream)), chunks)
             }
             Ok(RoutedResponse::Rejected { retry_after }) => rejection(retry_after),
             Ok(RoutedResponse::Failed) | Err(_) => {
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -9,7 +9,7 @@
 use crate::scheduler::{EndpointId, LoadReport, Outcome};
 use crate::upstream::connect::{ConnectError, Connection};
 use crate::upstream::event_framer::EventFormat;
-use crate::upstream::event_stream::{ContentKind, EventStream, StreamSource};
+use crate::upstream::event_stream::{EventStream, ResponseHead, StreamSource};
 use crate::upstream::exchange::{AttemptResponse, FirstResponse, RequestPayload, Upstream, UpstreamProtocol};
 use crate::upstream::load_report;
 use crate::upstream::request_head;
@@ -192,11 +192,11 @@
     async fn start_stream(
         &self, connection: Connection, head: &response::Parts, body: Incoming,
     ) -> AttemptResponse {
-        let kind = ContentKind::of(head.status, &head.headers);
+        let response_head = ResponseHead::new(head.status, &head.headers);
         let format = match self.upstream.protocol() {
             // The platform's endpoints always stream events, so any other content is not a response to this
             // request.
-            UpstreamProtocol::Platform if !kind.is_event_stream() => {
+            UpstreamProtocol::Platform if !response_head.is_event_stream() => {
                 return AttemptResponse::Finished(Outcome::Malformed);
             }
             UpstreamProtocol::Platform => EventFormat::Opaque,
@@ -204,7 +204,7 @@
         };
         let pool = self.upstream.pool().clone();
         let source = StreamSource { pool, endpoint: self.endpoint, connection, body };
-        let mut events = EventStream::new(source, kind, format);
+        let mut events = EventStream::new(source, response_head, format);
         match events.wait_for_first_event().await {
             Ok(()) => AttemptResponse::Streaming(Box::new(events)),
             Err(outcome) => AttemptResponse::Finished(outcome),
--- a/src/upstream/event_stream.rs
+++ b/src/upstream/event_stream.rs
@@ -26,17 +26,17 @@
 
 /// The status and content type of an endpoint's response, passed to the client unchanged.
 #[derive(Clone, Debug)]
-pub struct ContentKind {
+pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
     /// The content type.
     pub content_type: Option<HeaderValue>,
 }
 
-impl ContentKind {
+impl ResponseHead {
     /// Extracts the status and content type from a response head.
-    pub(super) fn of(status: StatusCode, headers: &HeaderMap) -> Self {
-        ContentKind { status, content_type: headers.get(CONTENT_TYPE).cloned() }
+    pub(super) fn new(status: StatusCode, headers: &HeaderMap) -> Self {
+        ResponseHead { status, content_type: headers.get(CONTENT_TYPE).cloned() }
     }
 
     /// Returns whether the response is an event stream.
@@ -77,7 +77,7 @@
     /// `None` once the stream is complete or broken.
     connection: Option<Connection>,
     body: Incoming,
-    kind: ContentKind,
+    head: ResponseHead,
     /// Events that were read while waiting for the first event and have not been returned yet.
     first_events: Option<Bytes>,
     /// `None` if the response is not an event stream. Its bytes are then forwarded as they arrive.
@@ -87,14 +87,14 @@
 
 impl EventStream {
     /// Creates a stream for a response whose head has been received.
-    pub(super) fn new(source: StreamSource, kind: ContentKind, format: EventFormat) -> Self {
-        let framer = if kind.is_event_stream() { Some(EventFramer::new(format)) } else { None };
+    pub(super) fn new(source: StreamSource, head: ResponseHead, format: EventFormat) -> Self {
+        let framer = if head.is_event_stream() { Some(EventFramer::new(format)) } else { None };
         EventStream {
             pool: source.pool,
             endpoint: source.endpoint,
             connection: Some(source.connection),
             body: source.body,
-            kind,
+            head,
             first_events: None,
             framer,
             ended: false,
@@ -123,8 +123,8 @@
     }
 
     /// Returns the response's status and content type.
-    pub fn kind(&self) -> &ContentKind {
-        &self.kind
+    pub fn head(&self) -> &ResponseHead {
+        &self.head
     }
 
     /// Returns whether an event reported an error.
