--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -1,4 +1,4 @@
-//! Forwarding a response that has begun, event by event, as the bytes that came.
+//! Forwards a started response to the client, event by event and without changing its bytes.
 
 use tokio::sync::mpsc;
 
@@ -7,38 +7,38 @@
 use super::responder::RoutedResponse;
 use crate::scheduler::Outcome;
 use crate::scheduler_handle::{RequestCommand, RequestHandle};
-use crate::upstream::event_stream::{EventStream, StreamBroken, StreamChunk};
+use crate::upstream::event_stream::{EventStream, StreamChunk, StreamError};
 
-/// How many chunks of a stream wait for a slow client. Past them its endpoint's connection is not read, so
-/// that the endpoint is slowed down rather than this process filled.
+/// Number of chunks buffered for a slow client. When the buffer is full, the endpoint's connection is not
+/// read, so back-pressure reaches the endpoint and the router's memory use stays bounded.
 const MAX_WAITING_CHUNKS: usize = 4;
 
-/// How forwarding a stream ended.
-enum Forwarded {
+/// How the forwarding of a stream ended.
+enum ForwardResult {
     /// The stream is complete.
     Complete,
     /// The stream broke.
-    Broken(StreamBroken),
-    /// The stream ended with an error event of its own.
+    Broken(StreamError),
+    /// The stream ended with an error event from the endpoint.
     ReportedError,
     /// The client disconnected.
     ClientDisconnected,
 }
 
 impl RequestTask {
-    /// Forwards a stream to its end. It is this client's alone from its first event on, and no deadline
-    /// applies to it any more.
+    /// Forwards a stream to its end. After the first event the request can no longer move to another
+    /// endpoint, and no deadline applies.
     pub(super) async fn forward_stream(&mut self, stream: StartedStream) {
         let StartedStream { events, attempt } = stream;
-        self.reservation.transferred();
+        self.reservation.mark_transferred();
         self.report_first_token(&attempt);
-        let forwarded = self.forward_to_client(events).await;
-        let outcome = self.count_stream(&forwarded);
+        let result = self.forward_to_client(events).await;
+        let outcome = self.count_stream(&result);
         self.settled = true;
         self.finish_attempt(&attempt, outcome.into());
     }
 
-    /// Reports the first token of a stream; a single response shows nothing of the time to its first token.
+    /// Reports the time to first token to the scheduler. A unary response does not reveal it.
     fn report_first_token(&self, attempt: &Attempt) {
         if self.unary {
             return;
@@ -53,48 +53,48 @@
         self.scheduler.report_first_token(attempt.id, attempt.send.endpoint, elapsed);
     }
 
-    /// Answers with the stream and forwards it, until it ends or the scheduler migrates it. When this
-    /// returns, the stream is closed at both ends.
-    async fn forward_to_client(&mut self, mut events: Box<EventStream>) -> Forwarded {
+    /// Answers with the stream and forwards it until it ends or the scheduler migrates it. When this returns,
+    /// the stream is closed on both sides.
+    async fn forward_to_client(&mut self, mut events: Box<EventStream>) -> ForwardResult {
         let (client, chunks) = mpsc::channel(MAX_WAITING_CHUNKS);
-        let kind = events.kind().clone();
-        if self.settled || !self.responder.respond(RoutedResponse::Body { kind, chunks }) {
-            return Forwarded::ClientDisconnected;
+        let head = events.head().clone();
+        if self.settled || !self.responder.respond(RoutedResponse::Body { head, chunks }) {
+            return ForwardResult::ClientDisconnected;
         }
-        let forwarded = tokio::select! {
-            forwarded = forward_events(&mut events, &client) => forwarded,
-            () = migration_requested(&mut self.scheduler) => {
+        let result = tokio::select! {
+            result = forward_events(&mut events, &client) => result,
+            () = wait_for_migration(&mut self.scheduler) => {
                 // The client resumes the stream with another request.
-                let _ = client.try_send(Err(StreamBroken::Cut));
-                Forwarded::Broken(StreamBroken::Cut)
+                let _ = client.try_send(Err(StreamError::Interrupted));
+                ForwardResult::Broken(StreamError::Interrupted)
             }
         };
-        // The endpoint's side closes first.
+        // Close the endpoint's side first.
         drop(events);
-        forwarded
+        result
     }
 
-    /// Counts how a stream ended, and says what that means for its attempt.
-    fn count_stream(&mut self, forwarded: &Forwarded) -> Outcome {
-        match forwarded {
-            Forwarded::Complete => {
+    /// Counts how a stream ended and returns the outcome of its attempt.
+    fn count_stream(&mut self, result: &ForwardResult) -> Outcome {
+        match result {
+            ForwardResult::Complete => {
                 self.context.counters.completed.increment();
                 Outcome::Completed
             }
-            Forwarded::Broken(broken) => {
+            ForwardResult::Broken(error) => {
                 self.context.counters.interrupted.increment();
-                match broken {
-                    StreamBroken::Malformed => Outcome::Malformed,
-                    StreamBroken::Cut => Outcome::ConnectionLost,
+                match error {
+                    StreamError::Malformed => Outcome::Malformed,
+                    StreamError::Interrupted => Outcome::ConnectionLost,
                 }
             }
-            Forwarded::ReportedError => {
+            ForwardResult::ReportedError => {
                 self.context.counters.failed.increment();
                 Outcome::Error
             }
-            Forwarded::ClientDisconnected => {
+            ForwardResult::ClientDisconnected => {
                 if !self.settled {
-                    self.client_disconnected();
+                    self.handle_client_disconnect();
                 }
                 Outcome::Cancelled
             }
@@ -103,37 +103,38 @@
 }
 
 /// Forwards events until the stream ends or the client disconnects.
-async fn forward_events(events: &mut EventStream, client: &mpsc::Sender<StreamChunk>) -> Forwarded {
+async fn forward_events(events: &mut EventStream, client: &mpsc::Sender<StreamChunk>) -> ForwardResult {
     loop {
         let chunk = tokio::select! {
-            () = client.closed() => return Forwarded::ClientDisconnected,
+            () = client.closed() => return ForwardResult::ClientDisconnected,
             chunk = events.next_events() => chunk,
         };
         match chunk {
             Some(Ok(bytes)) => {
                 if client.send(Ok(bytes)).await.is_err() {
-                    return Forwarded::ClientDisconnected;
+                    return ForwardResult::ClientDisconnected;
                 }
             }
-            Some(Err(broken)) => {
-                // A full channel means a slow client: the break waits its turn, but not the disconnect.
-                if client.send(Err(broken)).await.is_err() {
-                    return Forwarded::ClientDisconnected;
+            Some(Err(error)) => {
+                // If the channel is full because the client is slow, the error waits for capacity, but a
+                // client disconnect still ends the wait.
+                if client.send(Err(error)).await.is_err() {
+                    return ForwardResult::ClientDisconnected;
                 }
-                return Forwarded::Broken(broken);
+                return ForwardResult::Broken(error);
             }
-            None if events.reported_error() => return Forwarded::ReportedError,
-            None => return Forwarded::Complete,
+            None if events.reported_error() => return ForwardResult::ReportedError,
+            None => return ForwardResult::Complete,
         }
     }
 }
 
 /// Waits for the command to migrate the stream.
-async fn migration_requested(scheduler: &mut RequestHandle) {
+async fn wait_for_migration(scheduler: &mut RequestHandle) {
     loop {
         match scheduler.next_command().await {
             RequestCommand::Migrate => return,
-            // Without a scheduler the process is ending; the stream goes on until then.
+            // The scheduler is gone, so the process is exiting. The stream continues until then.
             RequestCommand::Fail => std::future::pending().await,
             RequestCommand::Send(_)
             | RequestCommand::Cancel(_)
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one endpoint, and its response read up to the first event.
+//! Runs one attempt: sends a request to one endpoint and reads the response up to its first event.
 
 use hyper::body::Incoming;
 use hyper::client::conn::TrySendError;
@@ -9,7 +9,7 @@
 use crate::scheduler::{EndpointId, LoadReport, Outcome};
 use crate::upstream::connect::{ConnectError, Connection};
 use crate::upstream::event_framer::EventFormat;
-use crate::upstream::event_stream::{ContentKind, EventStream, StreamSource};
+use crate::upstream::event_stream::{EventStream, ResponseHead, StreamSource};
 use crate::upstream::exchange::{AttemptResponse, FirstResponse, RequestPayload, Upstream, UpstreamProtocol};
 use crate::upstream::load_report;
 use crate::upstream::request_head;
@@ -20,8 +20,8 @@
 use crate::upstream::write_progress::{TrackedBody, WriteProgress};
 
 impl Upstream {
-    /// Sends the request to an endpoint and waits, within the deadlines, for what it comes to. Dropping the
-    /// future abandons the attempt: its connection closes.
+    /// Sends the request to an endpoint and waits, within the deadlines, for the attempt's result. Dropping
+    /// the future abandons the attempt and closes its connection.
     pub async fn run_attempt(
         &self, endpoint: EndpointId, payload: &RequestPayload, deadlines: AttemptDeadlines, gate: &SendGate,
     ) -> FirstResponse {
@@ -31,7 +31,7 @@
             AttemptRun { upstream: self, endpoint, payload, deadlines, gate, write_progress: None };
         let finished = timeout_at(deadlines.response_deadline, attempt.run()).await;
         let Ok(result) = finished else {
-            self.pool().invalidate_if_unheard_since(endpoint, started);
+            self.pool().invalidate_if_silent_since(endpoint, started);
             return FirstResponse::finished(attempt.timeout_outcome());
         };
         if let AttemptResponse::Finished(Outcome::ConnectFailed | Outcome::ConnectionLost) = result.response {
@@ -41,14 +41,14 @@
     }
 }
 
-/// One attempt at one endpoint.
+/// An attempt at an endpoint.
 struct AttemptRun<'a> {
     upstream: &'a Upstream,
     endpoint: EndpointId,
     payload: &'a RequestPayload,
     deadlines: AttemptDeadlines,
     gate: &'a SendGate,
-    /// How far the request is written on the present connection; none while there is no connection.
+    /// How much of the request has been written to the current connection; `None` if there is no connection.
     write_progress: Option<WriteProgress>,
 }
 
@@ -59,9 +59,9 @@
     in_flight: AttemptInFlight,
 }
 
-/// Why a request that was admitted has no response.
+/// Why an admitted request received no response.
 enum SendFailure {
-    /// The reused connection had just closed and nothing of the request was written to it.
+    /// The reused connection had been closed, and no part of the request was written to it.
     ClosedBeforeUse,
     /// The attempt has ended.
     Finished(Outcome),
@@ -75,7 +75,8 @@
         }
     }
 
-    /// What an attempt comes to whose time ran out: only a request that was written may have run.
+    /// Returns the outcome of an attempt that timed out. The request can only have been executed if it was
+    /// written.
     fn timeout_outcome(&self) -> Outcome {
         if self.write_progress.as_ref().is_some_and(WriteProgress::is_flushed) {
             Outcome::TimedOut
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Sends the request and waits for the head of the response. Nothing is ever sent twice: another
-    /// connection is used only when nothing was written to the one before.
+    /// Sends the request and waits for the response head. A request is never sent twice: another connection
+    /// is tried only if nothing was written to the previous one.
     async fn send(&mut self) -> Result<Exchange, Outcome> {
         loop {
             self.write_progress = None;
@@ -97,7 +98,7 @@
                     return Err(outcome);
                 }
             };
-            match self.send_over(connection, in_flight).await {
+            match self.send_on(connection, in_flight).await {
                 Ok(exchange) => return Ok(exchange),
                 Err(SendFailure::ClosedBeforeUse) => {}
                 Err(SendFailure::Finished(outcome)) => return Err(outcome),
@@ -105,7 +106,7 @@
         }
     }
 
-    /// A connection for the attempt, waited for no longer than the attempt may begin.
+    /// Returns a connection for the attempt, waiting no longer than the attempt's start deadline.
     async fn connect(&self) -> Result<Connection, Outcome> {
         let connection = match self.deadlines.start_deadline {
             Some(start_deadline) => {
@@ -122,14 +123,14 @@
 
     async fn pooled_connection(&self) -> Result<Connection, ConnectError> {
         let pool = self.upstream.pool();
-        if self.deadlines.reserved {
+        if self.deadlines.has_reservation {
             pool.verified_connection(self.endpoint).await
         } else {
             pool.connection(self.endpoint).await
         }
     }
 
-    /// The last check before the first byte.
+    /// Asks the send gate for permission immediately before the first byte is written.
     fn admit(&self) -> Result<AttemptInFlight, Outcome> {
         let address = self.upstream.pool().address(self.endpoint);
         self.gate.admit(address.as_ref(), &self.deadlines).map_err(|denied| {
@@ -149,7 +150,7 @@
         })
     }
 
-    async fn send_over(
+    async fn send_on(
         &mut self, mut connection: Connection, in_flight: AttemptInFlight,
     ) -> Result<Exchange, SendFailure> {
         let body = connection.body(self.payload.body.clone());
@@ -158,7 +159,7 @@
         let request = self.request(body);
         match connection.sender().try_send_request(request).await {
             Ok(response) => Ok(Exchange { connection, response, in_flight }),
-            Err(error) => Err(send_failure(error, progress.is_flushed(), connection.is_reused())),
+            Err(error) => Err(classify_send_error(error, progress.is_flushed(), connection.is_reused())),
         }
     }
 
@@ -170,7 +171,7 @@
         request
     }
 
-    /// Reads the response as far as its kind asks for. The attempt counts as in flight until then.
+    /// Reads as much of the response as its class requires. The attempt counts as in flight until then.
     async fn receive(&self, exchange: Exchange) -> FirstResponse {
         let Exchange { connection, response, in_flight: _in_flight } = exchange;
         let (head, body) = response.into_parts();
@@ -191,10 +192,11 @@
     async fn start_stream(
         &self, connection: Connection, head: &response::Parts, body: Incoming,
     ) -> AttemptResponse {
-        let kind = ContentKind::of(head.status, &head.headers);
+        let response_head = ResponseHead::new(head.status, &head.headers);
         let format = match self.upstream.protocol() {
-            // The platform's endpoints stream events; a response that does not was not made for this request.
-            UpstreamProtocol::Platform if !kind.is_event_stream() => {
+            // The platform's endpoints always stream events, so any other content is not a response to this
+            // request.
+            UpstreamProtocol::Platform if !response_head.is_event_stream() => {
                 return AttemptResponse::Finished(Outcome::Malformed);
             }
             UpstreamProtocol::Platform => EventFormat::Opaque,
@@ -202,15 +204,15 @@
         };
         let pool = self.upstream.pool().clone();
         let source = StreamSource { pool, endpoint: self.endpoint, connection, body };
-        let mut events = EventStream::new(source, kind, format);
+        let mut events = EventStream::new(source, response_head, format);
         match events.wait_for_first_event().await {
             Ok(()) => AttemptResponse::Streaming(Box::new(events)),
             Err(outcome) => AttemptResponse::Finished(outcome),
         }
     }
 
-    /// Reads the body of a 202: by it a prefill endpoint says that the prompt is prefilled. What the head
-    /// reported is void if the body does not come.
+    /// Reads the body of a 202 response, with which a prefill endpoint confirms that the prompt is prefilled.
+    /// If the body is incomplete, the load report in the head is ignored as well.
     async fn read_accepted(
         &self, connection: Connection, body: Incoming, load_report: Option<LoadReport>,
     ) -> FirstResponse {
@@ -225,7 +227,7 @@
         FirstResponse { response, load_report }
     }
 
-    /// Reads a body of which nothing is needed, so that its connection can be used again.
+    /// Reads and discards a body so that its connection can be reused.
     async fn discard_body(&self, connection: Connection, body: Incoming) {
         let read = timeout(FAILURE_BODY_TIMEOUT, read_body(body)).await;
         if matches!(read, Ok(Some(_))) {
@@ -234,13 +236,14 @@
     }
 }
 
-/// hyper gives back a request of which it has written nothing. Only then, and only on a reused connection,
-/// which its endpoint may have closed meanwhile, may the request go over another one.
-fn send_failure(
+/// Classifies an error of sending a request. hyper returns the request if it has written no part of it. Only
+/// then, and only on a reused connection, which the endpoint may have closed while it was idle, may the
+/// request be sent over another connection.
+fn classify_send_error(
     mut error: TrySendError<Request<TrackedBody>>, is_flushed: bool, is_reused: bool,
 ) -> SendFailure {
-    let is_untouched = error.take_message().is_some() && !is_flushed;
-    if is_untouched && is_reused {
+    let nothing_written = error.take_message().is_some() && !is_flushed;
+    if nothing_written && is_reused {
         return SendFailure::ClosedBeforeUse;
     }
     let outcome = if !is_flushed {
