--- a/src/config/chat.rs
+++ b/src/config/chat.rs
@@ -1,4 +1,4 @@
-//! The chat API's configuration, as its operator writes it: TOML, named by `--chat`.
+//! Configuration of the chat API: a TOML file written by the operator and passed with `--chat`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,47 +15,47 @@
 };
 use crate::upstream::connection_pool::PoolLimits;
 
-/// Most connections to clients, and most to endpoints, whatever the file allows.
+/// Upper limit for client connections and for endpoint connections, regardless of the file.
 const MAX_CONNECTIONS: usize = 4_096;
-/// Most bytes of request bodies held at once.
+/// Maximum total size of buffered request bodies, in bytes.
 const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
-/// Longest duration that a setting can give, in milliseconds: one day.
+/// Maximum value of a duration setting, in milliseconds (one day).
 const MAX_DURATION_MS: f64 = 86_400_000.0;
 
-/// The chat API's configuration.
+/// Validated configuration of the chat API.
 pub struct ChatConfig {
-    /// Where clients connect.
+    /// Address to accept client connections on.
     pub listen: SocketAddr,
-    /// The endpoints, which stay the same until the process ends.
+    /// The endpoints, which are fixed for the lifetime of the process.
     pub endpoints: Vec<ChatEndpoint>,
-    /// The class of each model.
+    /// Request class of each model, keyed by model name.
     pub models: BTreeMap<String, ClassId>,
-    /// The scheduler's settings.
+    /// Scheduler settings.
     pub settings: Settings,
-    /// Most tokens generated for a request that does not limit them.
+    /// Maximum number of generated tokens for requests that set no limit.
     pub default_max_tokens: u32,
-    /// Headers added to each request to an endpoint.
+    /// Headers added to every request sent to an endpoint.
     pub endpoint_headers: HeaderMap,
-    /// How connections to endpoints are kept.
+    /// Limits of the connection pool to the endpoints.
     pub pool: PoolLimits,
-    /// Most connections from clients at once.
+    /// Maximum number of concurrent client connections.
     pub max_clients: usize,
-    /// Most bytes of request bodies held at once.
+    /// Maximum total size of buffered request bodies, in bytes.
     pub max_body_bytes: usize,
-    /// The identity files, where clients must prove who they are.
+    /// TLS settings, if clients must authenticate with a certificate.
     pub tls: Option<TlsSettings>,
 }
 
 /// An endpoint of the chat API.
 #[derive(Clone, Debug)]
 pub struct ChatEndpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
 }
 
-/// The file. Error messages show the names of its fields and of the types that make it up.
+/// The file format. The names of its types and fields appear in error messages.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChatFile {
@@ -134,11 +134,11 @@
 }
 
 impl ChatConfig {
-    /// Reads the operator's file.
+    /// Reads and validates the configuration file.
     ///
     /// # Errors
     ///
-    /// Fails where the file cannot be read or is invalid.
+    /// Returns an error if the file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
@@ -178,7 +178,7 @@
 }
 
 impl ChatFile {
-    /// Checks what the format alone does not say.
+    /// Validates what deserialization alone does not check.
     fn check(&self) -> Result<(), ChatConfigError> {
         if self.endpoints.is_empty() {
             return Err(ChatConfigError::NoEndpoints);
@@ -216,7 +216,7 @@
         Ok(headers)
     }
 
-    /// The scheduler's settings: one router, and endpoints that do both prefill and decode.
+    /// Builds the scheduler settings for a single router whose endpoints do both prefill and decode.
     fn settings(&self, classes: Vec<RequestClass>) -> Result<Settings, ChatConfigError> {
         Ok(Settings {
             replicas: 1,
@@ -255,7 +255,7 @@
     }
 }
 
-/// A duration of the file in microseconds; `setting` names it in the error.
+/// Converts a duration from the file to microseconds. `setting` names the setting in the error message.
 fn micros(milliseconds: f64, setting: impl FnOnce() -> String) -> Result<Micros, ChatConfigError> {
     if !(0.0..=MAX_DURATION_MS).contains(&milliseconds) {
         return Err(ChatConfigError::DurationOutOfRange { setting: setting(), milliseconds });
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,41 +1,42 @@
-//! Why a configuration cannot be used. Each error is shown as one line.
+//! Configuration errors. Each error message is a single line.
 
 use std::error::Error;
 use std::io;
 use std::num::ParseIntError;
 use std::path::PathBuf;
 
-/// Why a configuration file cannot be used.
+/// An error from reading a configuration file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file could not be read.
     #[error("cannot read {}: {source}", .path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it could not be read.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The platform's file was read and is invalid.
+    /// The platform configuration is invalid.
     #[error("{}: {source}", .path.display())]
     Platform {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The validation error.
         source: PlatformConfigError,
     },
-    /// The chat API's file was read and is invalid.
+    /// The chat configuration is invalid.
     #[error("{}: {}", .path.display(), single_line(.source))]
     Chat {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The validation error.
         source: ChatConfigError,
     },
 }
 
 impl ConfigError {
-    /// Whether the same file may be readable in a moment: the system failed to read it, and it is there.
+    /// Returns whether reading the same file again may succeed, because the file exists and the error came
+    /// from the system.
     pub fn is_transient(&self) -> bool {
         match self {
             ConfigError::Read { source, .. } => !matches!(
@@ -47,68 +48,68 @@
     }
 }
 
-/// What is wrong with the platform's configuration.
+/// A validation error in the platform configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformConfigError {
-    /// It is not JSON, or not the JSON of a configuration.
+    /// The file is not valid JSON or does not match the configuration format.
     #[error(transparent)]
     Format(#[from] serde_json::Error),
-    /// The part of the settings that this process itself uses is invalid.
+    /// The connection settings, which this process uses itself, are invalid.
     #[error("settings: {0}")]
     ProcessSettings(#[source] serde_json::Error),
-    /// The scheduler's settings are invalid.
+    /// The scheduler settings are invalid.
     #[error("settings: {0}")]
     SchedulerSettings(#[source] Box<dyn Error + Send + Sync>),
     /// The seed is not a hexadecimal number.
     #[error("seed: \"{seed}\" is not a hexadecimal number")]
     Seed {
-        /// The seed as it is written.
+        /// The value in the file.
         seed: String,
-        /// Why it is not a number.
+        /// The parse error.
         source: ParseIntError,
     },
 }
 
-/// What is wrong with the chat API's configuration.
+/// A validation error in the chat configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ChatConfigError {
-    /// It is not TOML, or not the TOML of a configuration.
+    /// The file is not valid TOML or does not match the configuration format.
     #[error(transparent)]
     Format(#[from] toml::de::Error),
-    /// There is no endpoint to send to.
-    #[error("servers: at least one is needed")]
+    /// No endpoints are configured.
+    #[error("servers: at least one server is required")]
     NoEndpoints,
-    /// There is no model to serve.
-    #[error("models: at least one is needed")]
+    /// No models are configured.
+    #[error("models: at least one model is required")]
     NoModels,
     /// The number of attempts is out of range.
-    #[error("max_attempts: must lie between 1 and 100")]
+    #[error("max_attempts: must be between 1 and 100")]
     MaxAttempts,
-    /// A duration is negative or over one day.
+    /// A duration is negative or longer than one day.
     #[error("{setting}: {milliseconds} ms is out of range")]
     DurationOutOfRange {
-        /// The setting that holds it.
+        /// Name of the setting.
         setting: String,
-        /// The duration.
+        /// The configured value, in milliseconds.
         milliseconds: f64,
     },
-    /// A model has a class that is not defined.
-    #[error("models: \"{model}\" has the unknown class \"{class}\"")]
+    /// A model refers to a class that is not defined.
+    #[error("models: \"{model}\" refers to unknown class \"{class}\"")]
     UnknownClass {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// The class that it names.
+        /// The class that the model refers to.
         class: String,
     },
-    /// A header's name or value is not allowed in HTTP.
-    #[error("server_headers: \"{name}\" is not a header")]
+    /// The name or value of a header is not valid in HTTP.
+    #[error("server_headers: header \"{name}\" has an invalid name or value")]
     InvalidHeader {
-        /// The header's name.
+        /// Name of the header.
         name: String,
     },
 }
 
-/// An error's text on one line: the TOML parser shows the place of an error over several.
+/// Formats an error message on a single line, as the TOML parser's messages span several lines.
 pub fn single_line(error: &dyn Error) -> String {
     error.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration files, read at the start and, for the platform, again at each SIGHUP.
+//! Configuration files. They are read at startup, and the platform's again on SIGHUP.
 //!
-//! [`platform`] and [`chat`] each turn one file into one configuration type, with its errors in [`error`];
-//! [`reload`] reads the platform's file again.
+//! [`platform`] and [`chat`] each parse and validate one file, [`reload`] handles SIGHUP, and [`error`]
+//! defines the errors.
 
 pub mod chat;
 pub mod error;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,5 @@
-//! The platform API's configuration, as the platform writes it for each replica: JSON, named by `LB_CONFIG`.
+//! Configuration of the platform API: a JSON file that the platform writes for each replica, named by
+//! `LB_CONFIG`.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,45 +14,45 @@
 use crate::scheduler::Settings;
 use crate::upstream::connection_pool::PoolLimits;
 
-/// Most sockets that are used, whatever the configuration allows.
+/// Upper limit for sockets, regardless of the configuration.
 const MAX_SOCKETS: usize = 16_384;
-/// Most memory that is used, in mebibytes, whatever the configuration allows.
+/// Upper limit for memory in mebibytes, regardless of the configuration.
 const MAX_MEMORY_MB: usize = 4_096;
-/// Share of the sockets for connections to endpoints. What both shares leave is for discovery, logs and the
-/// runtime.
+/// Percentage of the sockets used for endpoint connections. The remainder after client connections is left
+/// for discovery, logs and the runtime.
 const ENDPOINT_SOCKETS_PERCENT: usize = 42;
-/// Share of the sockets for connections from clients.
+/// Percentage of the sockets used for client connections.
 const CLIENT_SOCKETS_PERCENT: usize = 44;
-/// Share of the memory for request bodies.
+/// Percentage of the memory used for request bodies.
 const BODY_MEMORY_PERCENT: usize = 30;
-/// Least amount of any resource, however small its limit.
+/// Minimum for each share, however small the limit of the resource is.
 const MIN_SHARE: usize = 8;
 
-/// The platform API's configuration.
+/// Validated configuration of the platform API.
 pub struct PlatformConfig {
-    /// This replica's name.
+    /// Name of this replica.
     pub name: String,
-    /// Where clients connect.
+    /// Address to accept client connections on.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Seed of all that is random, different for each replica.
+    /// Seed for all pseudo-random decisions, different for each replica.
     pub seed: u64,
-    /// The last known list of endpoints, which may be old.
+    /// Initial endpoint list, which may be outdated.
     pub known_endpoints: Option<EndpointList>,
-    /// The scheduler's settings.
+    /// Scheduler settings.
     pub settings: Settings,
-    /// The names that the settings gave to zones, kinds, classes and tenants.
+    /// Names of the zones, kinds, classes and tenants in the settings.
     pub names: SettingNames,
-    /// How connections to endpoints are kept.
+    /// Limits of the connection pool to the endpoints.
     pub pool: PoolLimits,
-    /// Most connections from clients at once.
+    /// Maximum number of concurrent client connections.
     pub max_clients: usize,
-    /// Most bytes of request bodies held at once.
+    /// Maximum total size of buffered request bodies, in bytes.
     pub max_body_bytes: usize,
 }
 
-/// The file. Error messages show the names of the types that make it up.
+/// The file format. The names of its types appear in error messages.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -65,7 +66,7 @@
     settings: Value,
 }
 
-/// What the process may use of its machine.
+/// Resources of the machine that the process may use.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
@@ -79,7 +80,7 @@
     }
 }
 
-/// The part of the settings that concerns connections, not decisions.
+/// The part of the settings that configures connections rather than scheduling.
 #[derive(Deserialize)]
 struct NodeSettings {
     limits: NodeLimits,
@@ -94,19 +95,19 @@
 }
 
 impl PlatformConfig {
-    /// Reads the configuration file.
+    /// Reads and validates the configuration file.
     ///
     /// # Errors
     ///
-    /// Fails where the file cannot be read or is invalid.
+    /// Returns an error if the file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text =
             std::fs::read(path).map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
         Self::parse(&text).map_err(|source| ConfigError::Platform { path: path.to_owned(), source })
     }
 
-    /// Leaves so many sockets to another API of the same process: the limit is for the entire process.
-    /// Clients and endpoints give up half of them each.
+    /// Reserves sockets for another API of the same process, as the limit applies to the whole process. Half
+    /// of them are taken from the client connections and half from the endpoint connections.
     pub fn reserve_sockets(&mut self, sockets: usize) {
         let half = sockets.div_ceil(2);
         self.max_clients = self.max_clients.saturating_sub(half).max(MIN_SHARE);
@@ -146,7 +147,7 @@
         .map_err(|source| PlatformConfigError::Seed { seed: seed.to_owned(), source })
 }
 
-/// A share of a limited resource.
+/// Returns a percentage of a resource limit, but at least [`MIN_SHARE`].
 fn share(limit: usize, percent: usize) -> usize {
     (limit * percent / 100).max(MIN_SHARE)
 }
--- a/src/config/pool.rs
+++ b/src/config/pool.rs
@@ -1,29 +1,29 @@
-//! The limits of a connection pool, from the settings that both files have.
+//! Connection pool limits, which both configuration files define by the same settings.
 
 use std::time::Duration;
 
 use crate::upstream::connection_pool::PoolLimits;
 
-/// Least time that a setting can give a connection, in milliseconds.
+/// Minimum value of a connection timeout setting, in milliseconds.
 const MIN_TIMEOUT_MS: f64 = 1.0;
-/// Most time that a setting can give a connection, in milliseconds: one hour.
+/// Maximum value of a connection timeout setting, in milliseconds (one hour).
 const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
-/// Share of an endpoint's idle timeout after which a connection to it is closed. This is well before the
-/// endpoint closes it: a request that crosses a close ends as a reset.
+/// Fraction of the endpoint's idle timeout after which an idle connection to it is closed. Closing well
+/// before the endpoint does avoids requests that race with its close and fail with a connection reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.5;
 
-/// For a connection to be made, in milliseconds, where the file does not say.
+/// Default time limit for connecting to an endpoint, in milliseconds.
 pub(super) fn default_connect_timeout_ms() -> f64 {
     250.0
 }
 
-/// After which an endpoint closes an idle connection, in milliseconds, where the file does not say.
+/// Default idle time after which an endpoint closes a connection, in milliseconds.
 pub(super) fn default_idle_close_ms() -> f64 {
     30_000.0
 }
 
-/// The limits of a pool of that size, to endpoints that close connections once they were idle for
-/// `idle_close_ms`.
+/// Builds the limits of a connection pool whose endpoints close connections after `idle_close_ms` of
+/// inactivity.
 pub(super) fn pool_limits(connect_timeout_ms: f64, idle_close_ms: f64, max_connections: usize) -> PoolLimits {
     PoolLimits {
         connect_timeout: timeout_from_millis(connect_timeout_ms),
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's configuration again at each SIGHUP, without a restart.
+//! Reloads the platform configuration on SIGHUP, without a restart.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,23 +13,23 @@
 use crate::config::{ConfigError, PlatformConfig};
 use crate::metrics::Counters;
 
-/// For a configuration that cannot be used to become complete: it may still be written. Changes that a moved
-/// discovery service has must be applied within 4 s of the signal.
+/// How long to retry an unusable configuration, as it may still be being written. After discovery has moved,
+/// endpoint changes must be applied within 4 s of the signal.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// From one read of a configuration that cannot be used to the next.
+/// Delay between attempts to read an unusable configuration.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Registers for SIGHUP. From now on it no longer ends the process, even before the first one is received.
+/// Registers a handler for SIGHUP. From then on, the signal no longer terminates the process.
 ///
 /// # Errors
 ///
-/// Fails where the system refuses to register the signal.
+/// Returns an error if the handler cannot be registered.
 pub fn hangups() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Reads the platform's configuration again at each SIGHUP, for ever, and publishes the address of discovery.
-/// A file that cannot be used changes nothing.
+/// Reloads the platform configuration on every SIGHUP and publishes the discovery address. If the file is
+/// unusable, the current configuration stays in effect.
 pub async fn reload_on_hangup(
     mut hangups: Signal, path: PathBuf, discovery: watch::Sender<SocketAddr>, counters: Rc<Counters>,
 ) {
@@ -39,26 +39,26 @@
                 counters.reloads.increment();
                 tracing::info!(
                     discovery = %config.discovery,
-                    "configuration reloaded; all but the discovery address needs a restart"
+                    "configuration reloaded; changes other than the discovery address require a restart"
                 );
                 publish_if_changed(&discovery, config.discovery);
             }
             Err(error) => {
                 counters.reloads_failed.increment();
-                tracing::error!(%error, "configuration reload failed, the previous one stays in use");
+                tracing::error!(%error, "configuration reload failed; keeping the previous configuration");
             }
         }
     }
 }
 
-/// Logs each SIGHUP, for ever: without the platform API there is nothing to read again.
+/// Logs every SIGHUP. Without the platform API there is no configuration to reload.
 pub async fn ignore_hangups(mut hangups: Signal) {
     while hangups.recv().await.is_some() {
-        tracing::warn!("SIGHUP ignored: the chat API reads its configuration at the start only");
+        tracing::warn!("SIGHUP ignored: the chat API reads its configuration only at startup");
     }
 }
 
-/// Reads a configuration that may still be written, or that the system fails to open for a moment.
+/// Reads the configuration, retrying while the file is incomplete or cannot be opened.
 async fn read_replaced(path: &Path) -> Result<PlatformConfig, ConfigError> {
     let give_up_at = Instant::now() + RELOAD_TIMEOUT;
     loop {
--- a/src/config/settings/error.rs
+++ b/src/config/settings/error.rs
@@ -1,57 +1,57 @@
-//! What can be wrong with a settings object.
+//! Validation errors of the settings object.
 
-/// A name that the settings do not list.
+/// A reference to a name that the settings do not define.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown {category} \"{name}\"")]
 pub struct UnknownName {
-    /// What it should name: a zone, kind, class or tenant.
+    /// What the name refers to: a zone, kind, class or tenant.
     pub category: &'static str,
-    /// The name as it was given.
+    /// The undefined name.
     pub name: String,
 }
 
-/// Why a settings object cannot be used.
+/// A validation error in the settings object.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It lacks a key, or a value has the wrong type.
+    /// A key is missing, or a value has the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The replica's zone is not among the zones.
+    /// The replica's zone is not defined.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// A list that has one entry for each class is too short.
+    /// A list with one entry per class is too short.
     #[error("familyInfo.{key} has no entry for class \"{class}\"")]
     MissingClassEntry {
-        /// The list's key.
+        /// JSON key of the list.
         key: &'static str,
-        /// The first class without an entry.
+        /// Name of the first class without an entry.
         class: String,
     },
-    /// The list of roles is too short.
+    /// The list of roles, which has one entry per kind, is too short.
     #[error("familyInfo.roleByKind has no entry for kind \"{kind}\"")]
     MissingRole {
-        /// The first kind without a role.
+        /// Name of the first kind without a role.
         kind: String,
     },
-    /// No kind of endpoint can prefill.
+    /// No kind of endpoint supports prefill.
     #[error("familyInfo.roleByKind: no kind reads prompts")]
     NoPrefillKind,
-    /// No kind of endpoint can decode.
+    /// No kind of endpoint supports decode.
     #[error("familyInfo.roleByKind: no kind writes answers")]
     NoDecodeKind,
-    /// The fleet has no replicas.
+    /// The number of replicas is zero.
     #[error("balancers: must be at least 1")]
     NoReplicas,
-    /// A keyed class does not say which endpoints share its keys.
+    /// A class with idempotency keys does not define which endpoints share them.
     #[error("class \"{class}\" is keyed but has no group")]
     MissingScope {
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// A keyed class does not say how long its keys are known.
+    /// A class with idempotency keys does not define how long they are remembered.
     #[error("class \"{class}\" is keyed but has no window")]
     MissingWindow {
-        /// The class.
+        /// Name of the class.
         class: String,
     },
 }
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings object, which a replica's configuration and the simulator's first message hold alike: it is read into
-//! the scheduler's settings and the names that later messages refer to.
+//! Converts the settings object, which appears both in a replica's configuration and in the simulator's first
+//! message, to scheduler settings and the names that later messages refer to.
 
 mod error;
 pub(crate) mod object;
@@ -15,16 +15,16 @@
 };
 use object::{Account, FamilyInfo, Invariants, Lane, MembershipMode, Options, WireIdempotency, WireLimits};
 
-/// The names in a settings object, each list in the order of the scheduler's indices.
+/// The names defined by a settings object. Each list is indexed by the corresponding scheduler id.
 #[derive(Clone, Debug, Default)]
 pub struct SettingNames {
-    /// Zones, by [`ZoneId`].
+    /// Zone names, indexed by [`ZoneId`].
     pub zones: Vec<String>,
-    /// Kinds of endpoint, by [`KindId`].
+    /// Names of the endpoint kinds, indexed by [`KindId`].
     pub kinds: Vec<String>,
-    /// Classes of request, by [`ClassId`].
+    /// Names of the request classes, indexed by [`ClassId`].
     pub classes: Vec<String>,
-    /// Tenants, by [`TenantId`].
+    /// Tenant names, indexed by [`TenantId`].
     pub tenants: Vec<String>,
 }
 
@@ -53,26 +53,26 @@
         .ok_or_else(|| UnknownName { category, name: name.to_owned() })
 }
 
-/// The scheduler's settings, and the names behind its indices.
+/// Scheduler settings with the names of their indices.
 #[derive(Clone, Debug)]
 pub struct NamedSettings {
-    /// The settings.
+    /// The scheduler settings.
     pub settings: Settings,
-    /// The names.
+    /// The names that the indices stand for.
     pub names: SettingNames,
 }
 
-/// Reads the settings object that the simulator's first message and a replica's configuration hold.
+/// Parses and validates a settings object.
 ///
 /// # Errors
 ///
-/// When the object lacks a key, has a value of the wrong type, or contradicts itself.
+/// Returns an error if a key is missing, a value has the wrong type, or values contradict each other.
 pub fn settings_from(options: Value) -> Result<NamedSettings, SettingsError> {
     let options: Options = serde_json::from_value(options)?;
     settings_from_options(&options)
 }
 
-/// As [`settings_from`], for an object that has been parsed.
+/// Like [`settings_from`], for an object that is already deserialized.
 pub(crate) fn settings_from_options(options: &Options) -> Result<NamedSettings, SettingsError> {
     let kinds = endpoint_kinds(&options.kinds, &options.family)?;
     if options.replicas == 0 {
@@ -105,7 +105,7 @@
     Tenant { quota_per_s: account.quota_per_s }
 }
 
-/// The kinds of endpoint; some kind must prefill and some kind must decode.
+/// Builds the endpoint kinds. At least one must support prefill and at least one must support decode.
 fn endpoint_kinds(names: &[String], family: &FamilyInfo) -> Result<Vec<EndpointKind>, SettingsError> {
     let kinds = names
         .iter()
@@ -153,7 +153,7 @@
     })
 }
 
-/// What a second execution of the class's requests does. A keyed class must have both a scope and a window.
+/// Builds the idempotency of a class. A class with idempotency keys must define both a scope and a window.
 fn idempotency(class: &Lane) -> Result<Idempotency, SettingsError> {
     match class.idempotency {
         WireIdempotency::Idempotent => Ok(Idempotency::Idempotent),
--- a/src/config/settings/object.rs
+++ b/src/config/settings/object.rs
@@ -1,9 +1,8 @@
-//! The settings object as it stands in JSON, in the simulator's first message and in a replica's
-//! configuration.
+//! JSON format of the settings object in the simulator's first message and in a replica's configuration.
 //!
-//! Fields carry the router's terms, with the object's key beside each; times are in milliseconds where the
-//! name ends in `_ms`. Structs carry the platform's words, as serde puts their names into the texts of its
-//! errors. Keys that no field names are passed over.
+//! Fields use the router's terms, with the JSON key in the `serde` attribute. Times are in milliseconds if
+//! the field name ends in `_ms`. Structs keep the platform's names because serde includes them in its error
+//! messages. Unknown keys are ignored.
 
 use serde::Deserialize;
 
@@ -14,7 +13,7 @@
 pub(crate) struct Options {
     #[serde(rename = "accounts", default)]
     pub(crate) tenants: Vec<Account>,
-    /// How many replicas serve the fleet.
+    /// Number of replicas that serve the fleet.
     #[serde(rename = "balancers")]
     pub(crate) replicas: u32,
     #[serde(rename = "failureDomains")]
@@ -23,26 +22,26 @@
     pub(crate) family: FamilyInfo,
     #[serde(rename = "invariants")]
     pub(crate) rules: Invariants,
-    /// Names of the kinds of endpoint.
+    /// Names of the endpoint kinds.
     pub(crate) kinds: Vec<String>,
     #[serde(rename = "lanes")]
     pub(crate) classes: Vec<Lane>,
     #[serde(rename = "limits")]
     pub(crate) capabilities: WireLimits,
-    /// The zone of this replica.
+    /// Zone of this replica.
     #[serde(rename = "locality")]
     pub(crate) zone: String,
     #[serde(rename = "membershipMode")]
     pub(crate) membership_mode: MembershipMode,
 }
 
-/// How updates of the endpoint list reach a replica.
+/// How a replica receives updates of the endpoint list.
 #[derive(Deserialize)]
 pub(crate) enum MembershipMode {
-    /// Without a watch.
+    /// Updates are sent without a watch.
     #[serde(rename = "push")]
     Push,
-    /// Only while the replica watches the endpoint list.
+    /// Updates are sent only while the replica watches the endpoint list.
     #[serde(rename = "ask")]
     Watch,
 }
@@ -51,36 +50,36 @@
 #[derive(Deserialize)]
 pub(crate) struct Account {
     pub(crate) name: String,
-    /// Requests a second within its quota, over all replicas.
+    /// Request quota per second, across all replicas.
     #[serde(rename = "quotaPerS")]
     pub(crate) quota_per_s: f64,
 }
 
-/// What is particular to a fleet that pairs prefill with decode endpoints.
+/// Settings specific to fleets that pair prefill endpoints with decode endpoints.
 #[derive(Deserialize)]
 pub(crate) struct FamilyInfo {
     #[serde(rename = "ahead")]
     pub(crate) reserve_ahead: bool,
-    /// For each class, what 1,000 prompt tokens add to the first token's objective, in microseconds.
+    /// Increase of the first-token objective per 1,000 prompt tokens, in microseconds, by class.
     #[serde(rename = "aimUsPer1000PromptTokens")]
     pub(crate) objectives_per_1000_prompt_tokens_us: Vec<f64>,
     #[serde(rename = "localRead")]
     pub(crate) local_prefill: bool,
-    /// For each kind, its KV cache memory; absent where the deployment does not say.
+    /// KV cache memory in tokens, by kind; absent if the deployment does not specify it.
     #[serde(rename = "memoryTokens")]
     pub(crate) memory_tokens: Option<Vec<f64>>,
     #[serde(rename = "pinLimit")]
     pub(crate) reservation_limit_ms: f64,
     pub(crate) resume: bool,
-    /// For each kind, its role.
+    /// Role of the endpoints, by kind.
     #[serde(rename = "roleByKind")]
     pub(crate) roles: Vec<WireRole>,
-    /// For each class, the wanted mean time between tokens.
+    /// Objective for the mean time between tokens, by class.
     #[serde(rename = "tokenAim")]
     pub(crate) inter_token_objectives_ms: Vec<f64>,
 }
 
-/// What a kind of endpoint can do.
+/// What an endpoint kind can do.
 #[derive(Deserialize, Clone, Copy)]
 pub(crate) enum WireRole {
     #[serde(rename = "read")]
@@ -101,7 +100,7 @@
     }
 }
 
-/// The limits that the platform's rules set.
+/// Limits imposed by the platform.
 #[derive(Deserialize)]
 pub(crate) struct Invariants {
     #[serde(rename = "answerSlack")]
@@ -123,7 +122,7 @@
 pub(crate) struct Lane {
     #[serde(rename = "deadline")]
     pub(crate) deadline_ms: f64,
-    /// The endpoints that share the keys of a keyed class.
+    /// Endpoints that share the idempotency keys of the class.
     #[serde(rename = "group")]
     pub(crate) scope: Option<WireScope>,
     #[serde(rename = "lateWorth", default)]
@@ -134,14 +133,14 @@
     pub(crate) first_token_objective_ms: f64,
     #[serde(rename = "semantics")]
     pub(crate) idempotency: WireIdempotency,
-    /// How long the keys of a keyed class are known.
+    /// How long the idempotency keys of the class are remembered.
     #[serde(rename = "window")]
     pub(crate) window_ms: Option<f64>,
     #[serde(rename = "worth")]
     pub(crate) priority_weight: f64,
 }
 
-/// The endpoints that together drop duplicates of a keyed request.
+/// Endpoints that jointly deduplicate requests by their idempotency key.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WireScope {
@@ -160,7 +159,7 @@
     }
 }
 
-/// What a second execution of a request does.
+/// Effect of executing a request a second time.
 #[derive(Deserialize)]
 pub(crate) enum WireIdempotency {
     #[serde(rename = "read_like")]
@@ -171,21 +170,21 @@
     NonIdempotent,
 }
 
-/// What the deployment allows.
+/// Features and limits of the deployment.
 #[derive(Deserialize)]
 pub(crate) struct WireLimits {
     #[serde(rename = "cancelling")]
     pub(crate) cancellation: bool,
     #[serde(rename = "maxAttempts")]
     pub(crate) max_attempts: u32,
-    /// The longest `Retry-After` that clients heed.
+    /// The longest `Retry-After` that clients honor.
     #[serde(rename = "maxRetryAfter")]
     pub(crate) max_retry_after_ms: Option<f64>,
     #[serde(rename = "mayDuplicate")]
     pub(crate) hedging: bool,
     #[serde(rename = "mayProbe")]
     pub(crate) health_checks: bool,
-    /// Clients heed `Retry-After` at all.
+    /// Whether clients honor `Retry-After` at all.
     #[serde(rename = "retryAfter")]
     pub(crate) retry_after: bool,
 }
--- a/src/config/tls.rs
+++ b/src/config/tls.rs
@@ -1,21 +1,21 @@
-//! The identity files of an API whose clients must prove who they are.
+//! TLS settings of an API whose clients must authenticate.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
 use serde::Deserialize;
 
-/// The files for mutual TLS, and who may connect. Relative paths start at the folder of the configuration
-/// file.
+/// Files for mutual TLS and the clients that may connect. Relative paths are resolved against the directory
+/// of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
-    /// This process's certificate chain, in PEM.
+    /// Path of this process's certificate chain (PEM).
     pub certificate: PathBuf,
-    /// The certificate's private key, in PEM.
+    /// Path of the certificate's private key (PEM).
     pub key: PathBuf,
-    /// The certificate authorities that clients' certificates must come from, in PEM.
+    /// Path of the certificate authorities that client certificates must chain to (PEM).
     pub trust_bundle: PathBuf,
-    /// The SPIFFE IDs whose requests are served.
+    /// SPIFFE IDs of the clients whose requests are accepted.
     pub allowed_ids: BTreeSet<String>,
 }
