--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -1,38 +1,39 @@
-//! The delays between a replica's calls to discovery.
+//! Delays between a replica's calls to discovery.
 
 use std::time::Duration;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Share of each replica in the window over which a fleet spreads its calls. A shared discovery service has
-/// been seen to take 55 ms for a call and to reject calls that queued for over 2 s.
+/// Window added per replica when a fleet spreads its calls. A shared discovery service may take 55 ms per
+/// call and rejects calls that were queued for over 2 s.
 const CALL_INTERVAL: Duration = Duration::from_millis(40);
-/// Least window in which the first retry falls, however small the fleet.
+/// Minimum window for the first retry, for small fleets.
 const MIN_RETRY_WINDOW: Duration = Duration::from_millis(250);
-/// How often the window doubles while calls go on failing.
+/// Maximum number of times that the window doubles after consecutive failures.
 const MAX_DOUBLINGS: u32 = 2;
-/// Longest delay from one call to the next, however large the fleet: a change must be applied within 6 s of
-/// the time when discovery had it and could be reached, and a call may queue there for 2 s of these.
+/// Maximum delay between two calls, for any fleet size. A change must be applied within 6 s of being
+/// available from a reachable discovery service, and a call may be queued there for 2 s of that time.
 const MAX_RETRY_WINDOW: Duration = Duration::from_secs(4);
 
-/// How long to wait before the next call to discovery, so that a fleet whose watches were lost in the same
-/// moment neither returns in one burst nor keeps a crowded discovery service from answering at all.
+/// Computes the delays between calls to discovery, so that replicas whose watches are lost simultaneously
+/// neither reconnect in one burst nor keep an overloaded discovery service from answering.
 #[derive(Debug)]
 pub struct Backoff {
-    /// Over which the first calls after a start are spread.
+    /// Window over which the first calls after startup are spread.
     start_window: Duration,
-    /// Over which the first retries are spread.
+    /// Window over which the first retries are spread.
     retry_window: Duration,
-    /// Failures in a row, up to [`MAX_DOUBLINGS`].
+    /// Number of consecutive failures, up to [`MAX_DOUBLINGS`].
     failures: u32,
-    /// Whether the next failure is probably one of the entire fleet in the same moment.
+    /// Whether the next failure is likely to affect the whole fleet at the same time.
     fleet_in_step: bool,
     seed: u64,
     draws: u64,
 }
 
 impl Backoff {
-    /// The delays of one of `replicas` that share a discovery service; each has a seed of its own.
+    /// Creates the backoff for one of `replicas` that share a discovery service. Each replica needs its own
+    /// seed.
     pub fn new(replicas: u32, seed: u64) -> Self {
         let fleet_window = CALL_INTERVAL * replicas;
         Backoff {
@@ -45,15 +46,17 @@
         }
     }
 
-    /// The delay before the first call of a replica that starts with a list and can route by it meanwhile: a
-    /// fleet that starts or restarts together must not call together.
+    /// Returns the delay before the first call of a replica that starts with an endpoint list. It can route
+    /// with that list in the meantime, so the calls of a fleet that starts or restarts at once are spread
+    /// out.
     pub fn initial_delay(&mut self) -> Duration {
         self.fleet_in_step = false;
         self.start_window.mul_f64(self.draw())
     }
 
-    /// The delay after one more failure. It is drawn from the entire window where the fleet failed together,
-    /// as when all its watches are lost, else from the second half of it, as discovery is crowded.
+    /// Returns the delay after another failure. It is drawn from the whole window if the fleet failed
+    /// simultaneously, for example because all watches were lost. Otherwise discovery is overloaded, and the
+    /// delay is drawn from the second half of the window.
     pub fn next_delay(&mut self) -> Duration {
         let window = (self.retry_window * 2u32.pow(self.failures)).min(MAX_RETRY_WINDOW);
         let min_share = if self.fleet_in_step { 0.0 } else { 0.5 };
@@ -62,13 +65,13 @@
         window.mul_f64(min_share + (1.0 - min_share) * self.draw())
     }
 
-    /// Discovery answers: the next failure is a first one.
+    /// Resets the backoff after discovery has answered.
     pub fn reset(&mut self) {
         self.failures = 0;
         self.fleet_in_step = true;
     }
 
-    /// The next of a series of pseudo-random numbers from 0 to 1.
+    /// Returns the next pseudo-random number between 0 and 1.
     fn draw(&mut self) -> f64 {
         self.draws += 1;
         (xxh3_64_with_seed(&self.draws.to_le_bytes(), self.seed) >> 32) as f64 / f64::from(u32::MAX)
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls to discovery: one snapshot, or a watch that streams what changes.
+//! HTTP client for discovery: fetches a snapshot or opens a watch that streams changes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,31 +16,31 @@
 
 use crate::discovery::endpoint_list::{EndpointList, ListError, ListReader};
 
-/// Why a call to discovery failed, or a watch was lost.
+/// An error that fails a call to discovery or ends a watch.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
-    /// No connection could be made.
+    /// The TCP connection could not be established.
     #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
     /// The HTTP exchange failed.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The response has a status other than 200.
-    #[error("answered {0}")]
+    /// The response status was not 200.
+    #[error("unexpected response status {0}")]
     Status(StatusCode),
-    /// The body is not an endpoint list.
+    /// The body was not a valid endpoint list.
     #[error(transparent)]
     List(#[from] ListError),
-    /// Nothing arrived before the timeout.
-    #[error("silent")]
+    /// No data arrived before the timeout.
+    #[error("no data before the timeout")]
     Silent,
     /// Discovery ended the response.
-    #[error("ended")]
+    #[error("response ended")]
     Ended,
 }
 
-/// Fetches the complete endpoint list. Discovery has `response_timeout` to answer, and again for each part of
-/// the body.
+/// Fetches the complete endpoint list. The timeout applies separately to the response head and to each chunk
+/// of the body.
 pub(super) async fn fetch_snapshot(
     address: SocketAddr, response_timeout: Duration,
 ) -> Result<EndpointList, WatchError> {
@@ -54,14 +54,14 @@
     Err(WatchError::Ended)
 }
 
-/// Opens a watch on everything that changed after `version`; its body streams lists.
+/// Opens a watch for all changes after `version`. The response body is a stream of lists.
 pub(super) async fn open_watch(
     address: SocketAddr, version: u64, response_timeout: Duration,
 ) -> Result<Incoming, WatchError> {
     get(address, &format!("/api/targets?follow=1&since={version}"), response_timeout).await
 }
 
-/// The next part of a body, or none at its end.
+/// Returns the next chunk of a body, or `None` at its end.
 pub(super) async fn next_chunk(body: &mut Incoming, within: Duration) -> Result<Option<Bytes>, WatchError> {
     match timeout(within, body.frame()).await {
         Err(_) => Err(WatchError::Silent),
@@ -70,12 +70,12 @@
     }
 }
 
-/// Sends a request on a connection of its own and gives the body of the response.
+/// Sends a request on a new connection and returns the response body.
 async fn get(address: SocketAddr, path: &str, within: Duration) -> Result<Incoming, WatchError> {
     let exchange = async {
         let socket = TcpStream::connect(address).await.map_err(WatchError::Connect)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(socket)).await?;
-        // The task ends with the response body, or when that is dropped.
+        // The task ends when the response body has been read or is dropped.
         spawn_local(connection);
         let request = Request::get(path).header("host", address.to_string()).body(Empty::<Bytes>::new());
         let Ok(request) = request else { return Err(WatchError::Ended) };
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -1,4 +1,4 @@
-//! Applies endpoint lists: endpoints go to the scheduler, their addresses to the connection pool.
+//! Applies endpoint lists to the scheduler and the connection pool.
 
 use std::collections::HashSet;
 
@@ -15,23 +15,23 @@
 };
 use crate::upstream::connection_pool::EndpointAddress;
 
-/// What this replica knows of the endpoint list.
+/// The endpoints that discovery has reported to this replica.
 pub struct EndpointDirectory {
     context: RoutingContext,
-    /// The role of each kind of endpoint, in the order of the settings.
+    /// Role of each endpoint kind, indexed by kind.
     roles: Vec<Role>,
     names: SettingNames,
     ids: EndpointIds,
     start_times: StartTimes,
-    /// The version of the list that was applied last; none if the next one must be a snapshot.
+    /// Version of the last applied list, or `None` if the next list must be a snapshot.
     version: Option<u64>,
-    /// When everything that discovery had published was known last; none before the first list from
-    /// discovery.
+    /// Last time at which all changes published by discovery had been applied, or `None` before the first
+    /// list from discovery.
     last_event_at: Option<Instant>,
 }
 
 impl EndpointDirectory {
-    /// An empty directory.
+    /// Creates an empty directory.
     pub fn new(context: RoutingContext, settings: &Settings, names: SettingNames, clock: Clock) -> Self {
         EndpointDirectory {
             context,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Applies a list at once: an endpoint that drains or has been removed must get no further request.
+    /// Applies a list immediately, as endpoints that are draining or removed must not receive further
+    /// requests.
     pub fn apply(&mut self, list: &EndpointList) {
         self.context.counters.lists_received.increment();
         self.version = Some(list.version);
@@ -68,29 +69,29 @@
         self.context.scheduler.endpoints_changed(list.snapshot, updates);
     }
 
-    /// The version of the list that was applied last.
+    /// Returns the version of the last applied list.
     pub(super) fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Makes the next watch begin with a snapshot: the versions of another discovery service may not continue
-    /// those of the one before.
+    /// Clears the version so that the next watch starts with a snapshot. A different discovery service may
+    /// not continue the version sequence of the previous one.
     pub(super) fn forget_version(&mut self) {
         self.version = None;
     }
 
-    /// Records that everything that discovery had published at that time has been applied.
+    /// Records that all changes published by discovery up to this time have been applied.
     pub(super) fn mark_current(&mut self, at: Instant) {
         self.last_event_at = Some(at);
     }
 
-    /// What the directory applies its lists to.
+    /// Returns the routing context that lists are applied to.
     pub(super) fn context(&self) -> &RoutingContext {
         &self.context
     }
 
-    /// Applies one record. A record that is invalid says nothing by which its endpoint could be used, so the
-    /// endpoint is removed.
+    /// Applies one record. An endpoint with an invalid record is removed, as the record does not contain what
+    /// is needed to use it.
     fn apply_record(&mut self, record: &EndpointRecord, in_snapshot: bool) -> Option<EndpointUpdate> {
         let name = match record {
             EndpointRecord::Valid(endpoint) => {
@@ -102,11 +103,11 @@
             }
             EndpointRecord::Invalid { id } => id,
             EndpointRecord::Unidentified(_) => {
-                tracing::warn!("endpoint record without an id ignored");
+                tracing::warn!("ignoring endpoint record without an id");
                 return None;
             }
         };
-        tracing::warn!(endpoint = %name, "endpoint record is invalid, endpoint taken as removed");
+        tracing::warn!(endpoint = %name, "invalid endpoint record; treating the endpoint as removed");
         Some(EndpointUpdate {
             endpoint: self.ids.id_for(name),
             lifecycle: Lifecycle::Removed,
@@ -114,7 +115,7 @@
         })
     }
 
-    /// Applies a valid record; none if the settings do not know its zone or kind.
+    /// Applies a valid record. Returns `None` if its zone or kind is not in the settings.
     fn apply_endpoint(&mut self, record: &DiscoveredEndpoint, in_snapshot: bool) -> Option<EndpointUpdate> {
         let zone = self.names.zones.iter().position(|zone| *zone == record.zone)?;
         let kind = self.names.kinds.iter().position(|kind| *kind == record.kind)?;
@@ -151,7 +152,7 @@
         self.start_times.resolve(endpoint, unix_ms, since_last_event)
     }
 
-    /// Forgets every endpoint for which `is_known` is false.
+    /// Removes all endpoints that do not satisfy `is_known`.
     fn retain(&mut self, is_known: impl Fn(EndpointId) -> bool) {
         let pool = self.context.upstream.pool();
         for endpoint in pool.endpoints() {
--- a/src/discovery/endpoint_ids.rs
+++ b/src/discovery/endpoint_ids.rs
@@ -1,4 +1,4 @@
-//! The numeric ids by which the scheduler and the connection pool know the endpoints that discovery names.
+//! Maps the endpoint names of discovery to the numeric ids used by the scheduler and the connection pool.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,7 +6,7 @@
 
 use crate::scheduler::EndpointId;
 
-/// The numeric id of each known endpoint, by the name that discovery gives it.
+/// Numeric ids of the known endpoints, keyed by name.
 #[derive(Debug, Default)]
 pub(super) struct EndpointIds {
     by_name: HashMap<String, EndpointId>,
@@ -14,8 +14,8 @@
 }
 
 impl EndpointIds {
-    /// The id for a name, assigned if the name is new. It is derived from the name, so that every replica
-    /// assigns the same one whatever the order of the list; only a collision makes a replica take the next
+    /// Returns the id of an endpoint, assigning one to a new name. Ids are hashes of the name, so all
+    /// replicas assign the same id regardless of list order. Only on a collision does a replica use the next
     /// hash.
     pub(super) fn id_for(&mut self, name: &str) -> EndpointId {
         if let Some(&endpoint) = self.by_name.get(name) {
@@ -28,7 +28,7 @@
         endpoint
     }
 
-    /// Forgets every endpoint for which `is_known` is false.
+    /// Removes all endpoints that do not satisfy `is_known`.
     pub(super) fn retain(&mut self, is_known: impl Fn(EndpointId) -> bool) {
         self.by_name.retain(|_, endpoint| is_known(*endpoint));
         self.in_use.retain(|endpoint| is_known(*endpoint));
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,108 +1,110 @@
-//! Endpoint lists as discovery publishes them, read from a stream that may be cut anywhere.
+//! Endpoint lists published by discovery, and a reader for a stream that may be split at any byte.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
-/// Longest list that is read, in bytes; the watch on a discovery service that sends more is lost.
+/// Maximum size of a list in bytes. A watch that exceeds it is closed.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// A list of endpoints as discovery publishes it: a snapshot, or a delta.
+/// An endpoint list published by discovery: either a snapshot or a delta.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
-    /// Grows with each change.
+    /// Version of the list, which increases with every change.
     pub version: u64,
-    /// Whether endpoints that it does not name have been removed.
+    /// Whether the list is a snapshot, in which case endpoints that it does not contain have been removed.
     #[serde(rename = "full")]
     pub snapshot: bool,
-    /// Its records, in order.
+    /// The endpoint records, in order.
     #[serde(rename = "servers")]
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// One record of a list. An invalid record must not cost the others, so it is kept as far as it can be read.
+/// An endpoint record. Records are parsed leniently so that an invalid one does not invalidate the rest of
+/// the list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum EndpointRecord {
-    /// Every field could be read.
+    /// All fields are valid.
     Valid(DiscoveredEndpoint),
-    /// Only the id could be read.
+    /// Only the id is valid.
     Invalid {
-        /// The endpoint's id.
+        /// Name of the endpoint.
         id: String,
     },
-    /// Not even an id could be read.
+    /// The id is missing or invalid.
     Unidentified(IgnoredAny),
 }
 
-/// An endpoint as discovery describes it.
+/// An endpoint as published by discovery.
 #[derive(Clone, Debug, Deserialize)]
 pub struct DiscoveredEndpoint {
-    /// Its name, the same for every replica.
+    /// Name of the endpoint, which is the same for all replicas.
     pub id: String,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub addr: SocketAddr,
-    /// The name of its zone.
+    /// Name of the zone.
     pub zone: String,
-    /// The name of its kind.
+    /// Name of the endpoint kind.
     pub kind: String,
-    /// Its cell.
+    /// Number of the cell.
     #[serde(default)]
     pub cell: i64,
-    /// Whether it takes new requests.
+    /// Lifecycle state of the endpoint.
     pub state: DiscoveryState,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of the last start in Unix milliseconds, or 0 if it was long ago.
     #[serde(default)]
     pub started_ms: i64,
 }
 
-/// Whether an endpoint takes new requests.
+/// Lifecycle state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum DiscoveryState {
-    /// It does.
+    /// The endpoint accepts new requests.
     Ready,
-    /// It finishes those that it has.
+    /// The endpoint only finishes its current requests.
     Terminating,
-    /// It has been removed; only deltas say so.
+    /// The endpoint has been removed. Only deltas contain this state.
     Gone,
 }
 
-/// Why bytes are not an endpoint list.
+/// An error from reading endpoint lists.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// The JSON is not that of a list.
-    #[error("not a list: {0}")]
+    /// The text is not valid JSON or does not match the list format.
+    #[error("invalid endpoint list: {0}")]
     Format(#[from] serde_json::Error),
-    /// Something other than a list stands between lists.
-    #[error("not a list: it begins with byte {0}")]
+    /// A list does not start with `{`.
+    #[error("invalid endpoint list: unexpected byte {0} at its start")]
     UnexpectedByte(u8),
-    /// It is longer than any list that is read.
-    #[error("a list of over {MAX_LIST_BYTES} bytes")]
+    /// A list exceeds the maximum size.
+    #[error("endpoint list exceeds {MAX_LIST_BYTES} bytes")]
     TooLong,
 }
 
-/// Reads lists from a stream, however it is cut into lines and chunks. Each byte is looked at once until its
-/// list is complete, so that a long list in many chunks costs no more than one that arrives at once.
+/// Incremental reader for a stream of lists, regardless of how it is split into lines and chunks. Every byte
+/// is scanned only once before its list is complete, so a long list in many chunks costs no more than one in
+/// a single chunk.
 #[derive(Debug, Default)]
 pub struct ListReader {
-    /// The bytes so far of the list that has begun.
+    /// Bytes of the incomplete list received so far.
     text: Vec<u8>,
-    /// Open braces and brackets of the list that has begun.
+    /// Current nesting depth of braces and brackets.
     depth: usize,
-    /// Whether the next byte belongs to a JSON string.
+    /// Whether the next byte is inside a JSON string.
     in_string: bool,
-    /// Whether the byte before, in a JSON string, was a backslash that escapes the next one.
+    /// Whether the previous byte was a backslash that escapes the next one.
     escaped: bool,
 }
 
 impl ListReader {
-    /// Reads the next bytes of the stream and gives the lists that they complete.
+    /// Reads the next bytes of the stream and returns the lists that they complete.
     ///
     /// # Errors
     ///
-    /// Fails where a list is malformed or too long, or where something else stands between lists. The stream
-    /// cannot be read any further then.
+    /// Returns an error if a list is malformed or too long, or if there is other data between lists. The
+    /// reader must not be used afterwards.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<EndpointList>, ListError> {
         let mut lists = Vec::new();
         for &byte in bytes {
@@ -125,12 +127,12 @@
         Ok(lists)
     }
 
-    /// Whether no list has begun that is not complete.
+    /// Returns whether the reader is between lists, with no incomplete list buffered.
     pub fn between_lists(&self) -> bool {
         self.depth == 0
     }
 
-    /// Follows the nesting of the JSON text.
+    /// Tracks the nesting depth and whether the next byte is inside a string.
     fn scan(&mut self, byte: u8) {
         if self.in_string {
             self.scan_string(byte);
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Follows a JSON string to its closing quote.
+    /// Tracks escapes and the end of a JSON string.
     fn scan_string(&mut self, byte: u8) {
         if self.escaped {
             self.escaped = false;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! The endpoint list: the watch on discovery, what it reads, and how it retries.
+//! Service discovery: keeps the endpoint list up to date.
 //!
-//! [`watch`] keeps a watch open, [`endpoint_list`] reads the lists that come on it, and [`directory`] applies
-//! them to the scheduler and to the connection pool. [`backoff`] spaces the calls of a fleet.
+//! [`watch`] keeps a watch on discovery open, [`endpoint_list`] reads the lists that arrive on it,
+//! [`directory`] applies them to the scheduler and the connection pool, and [`backoff`] spreads out the calls
+//! of a fleet.
 
 pub mod backoff;
 mod client;
--- a/src/discovery/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -1,8 +1,8 @@
-//! When endpoints started, converted from Unix time to the scheduler's clock.
+//! Converts endpoint start times from Unix time to the scheduler's clock.
 //!
-//! The wall clock of either machine may be off, by seconds or by an hour, when the router reads it. A start
-//! at a time that the clocks rule out is taken as one at this moment: an endpoint that is believed cold for
-//! too long is spared for one slow start, one that is believed warm too early is overloaded.
+//! The wall clock of either machine may be wrong by seconds or by an hour when the router reads it. An
+//! impossible start time is replaced by the current time: an endpoint treated as cold for too long only gets
+//! fewer requests for one slow start, while one treated as warm too early is overloaded.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,40 +10,39 @@
 use crate::clock::Clock;
 use crate::scheduler::{EndpointId, Micros};
 
-/// Longest time from an endpoint's start until discovery reports it, while a watch is open.
+/// Maximum time between the start of an endpoint and its report by discovery, while a watch is open.
 const MAX_REPORT_DELAY: Duration = Duration::from_secs(10);
-/// Most by which clocks are corrected, in microseconds; a start time that is further off does not come from a
-/// clock.
+/// Maximum clock correction in microseconds. A start time that is off by more does not come from a clock.
 const MAX_CLOCK_OFFSET: Micros = 2 * 3_600 * 1_000_000;
-/// Start times that are remembered before those of unlisted endpoints are forgotten: an endpoint may be
-/// listed again with the start that it had.
+/// Number of cached start times above which those of unlisted endpoints are dropped. They are not dropped at
+/// once because an endpoint may be listed again with the same start time.
 const MAX_REMEMBERED: usize = 1_024;
 
-/// A start time as it was reported, and what it was resolved to.
+/// A reported start time and the time it was resolved to.
 #[derive(Clone, Copy, Debug)]
 struct ResolvedStart {
     unix_ms: i64,
     at: Micros,
 }
 
-/// The start times that discovery has reported.
+/// The start times reported by discovery.
 #[derive(Debug)]
 pub struct StartTimes {
     clock: Clock,
     resolved: HashMap<EndpointId, ResolvedStart>,
-    /// What must be added to reported start times, in microseconds, as far as the list has shown.
+    /// Correction to add to reported start times, in microseconds, derived from impossible start times.
     correction: Micros,
 }
 
 impl StartTimes {
-    /// No start time is known yet.
+    /// Creates a cache without start times.
     pub fn new(clock: Clock) -> Self {
         StartTimes { clock, resolved: HashMap::new(), correction: 0 }
     }
 
-    /// When an endpoint started, on the scheduler's clock; none for long ago. `unix_ms` is the reported Unix
-    /// time in milliseconds, 0 for long ago. `since_last_event` is the time since the list was last known to
-    /// be current; none if it never was.
+    /// Returns when an endpoint started on the scheduler's clock, or `None` if that was long ago. `unix_ms`
+    /// is the reported Unix time in milliseconds, or 0 if that was long ago. `since_last_event` is the time
+    /// since the list was last known to be current, or `None` if it never was.
     pub fn resolve(
         &mut self, endpoint: EndpointId, unix_ms: i64, since_last_event: Option<Duration>,
     ) -> Option<Micros> {
@@ -57,7 +56,7 @@
         }
         let now = self.clock.now();
         let reported = unix_ms.saturating_mul(1_000).saturating_add(self.correction);
-        // A start before this would have been reported earlier.
+        // Earlier starts would already have been reported.
         let earliest =
             since_last_event.map(|elapsed| now - (elapsed + MAX_REPORT_DELAY).as_micros() as Micros);
         let is_possible = reported <= now && earliest.is_none_or(|earliest| reported >= earliest);
@@ -69,21 +68,21 @@
         Some(at)
     }
 
-    /// Shifts later start times by this offset, unless no clock can be that far off.
+    /// Adjusts the correction by this offset, unless it exceeds [`MAX_CLOCK_OFFSET`].
     fn correct(&mut self, endpoint: EndpointId, offset: Micros) {
         let corrects_clock = offset.saturating_abs() <= MAX_CLOCK_OFFSET;
         tracing::warn!(
             endpoint = endpoint.0,
             offset_ms = offset / 1_000,
             corrects_clock,
-            "endpoint start time is impossible, taken as now"
+            "impossible endpoint start time; using the current time"
         );
         if corrects_clock {
             self.correction += offset;
         }
     }
 
-    /// Forgets endpoints that are no longer listed, once many are remembered.
+    /// Drops the start times of unlisted endpoints if too many are cached.
     pub fn retain(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
         if self.resolved.len() > MAX_REMEMBERED {
             self.resolved.retain(|endpoint, _| is_listed(*endpoint));
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! Keeps a watch on discovery open: a snapshot where one is needed, then a stream of deltas, again after each
-//! loss.
+//! Keeps a watch on discovery open: fetches a snapshot if necessary, streams deltas, and reconnects when the
+//! watch is lost.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,43 +14,43 @@
 use crate::discovery::endpoint_list::ListReader;
 use crate::scheduler::Settings;
 
-/// Silence after which a watch on a shared discovery service is lost; it sends an empty line every 2 s. An
-/// endpoint change must be applied within 6 s, so a new watch has to be open well before that.
+/// Maximum silence on a watch of a shared discovery service, which sends an empty line every 2 s. An endpoint
+/// change must be applied within 6 s, so the watch has to be replaced well before that.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(3_200);
-/// Silence after which a watch on an agent of this replica alone is lost. A new call costs the agent nothing,
-/// so this is short enough that even a second watch that stays silent is replaced within the 6 s for an
+/// Maximum silence on a watch of an agent that serves only this replica. Reconnecting costs the agent
+/// nothing, so the timeout is short enough to replace even a second silent watch within the 6 s limit for an
 /// endpoint change.
 const AGENT_WATCH_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// For a shared discovery service to accept a call and to answer it. Calls queue there and are rejected once
-/// they have waited too long: work on a call that is abandoned earlier goes on, and the next call only
-/// lengthens the queue.
+/// Timeout for a shared discovery service to accept and answer a call. It queues calls, rejects those queued
+/// for too long, and keeps working on calls that were abandoned earlier. Retrying sooner would only lengthen
+/// the queue.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// For an agent of this replica alone to accept a call and to answer it: it answers at once, or not until it
-/// is back.
+/// Timeout for an agent that serves only this replica to accept and answer a call. It answers immediately or
+/// is down.
 const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How one watch was lost.
+/// A watch that was lost, or could not be opened.
 struct LostWatch {
     error: WatchError,
-    /// From when on changes may have been missed; the delay before the next watch counts from here.
+    /// Time from which changes may have been missed. The delay before the next watch starts here.
     since: Instant,
 }
 
-/// The watch on discovery of one replica.
+/// The discovery watch of one replica.
 pub struct EndpointWatch {
     directory: EndpointDirectory,
     backoff: Backoff,
-    /// For discovery to answer a call.
+    /// Timeout for discovery to answer a call.
     response_timeout: Duration,
-    /// For the next line of an open watch to arrive.
+    /// Maximum silence on an open watch.
     watch_timeout: Duration,
-    /// Turns true once discovery has answered with what it knows.
+    /// Becomes true once discovery has answered with its current state.
     notified: watch::Sender<bool>,
 }
 
 impl EndpointWatch {
-    /// A watch that is not open yet and will apply what it reads to the directory; `seed` is this replica's
-    /// own.
+    /// Creates a watch that applies lists to `directory`. It is opened by [`run`](Self::run). Each replica
+    /// needs its own `seed`.
     pub fn new(
         directory: EndpointDirectory, settings: &Settings, seed: u64, notified: watch::Sender<bool>,
     ) -> Self {
@@ -63,7 +63,8 @@
                 notified,
             }
         } else {
-            // An agent that is sent the list serves this replica alone: no other one waits for its answers.
+            // In push mode, discovery is an agent that serves only this replica, so no other replica competes
+            // for it.
             EndpointWatch {
                 directory,
                 backoff: Backoff::new(1, seed),
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Watches discovery for ever, at whatever address it has. A new address takes effect at once, and the
-    /// watch there begins with a snapshot.
+    /// Runs the watch indefinitely. When the discovery address changes, the watch is reopened there at once,
+    /// starting with a snapshot.
     pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
         if self.directory.version().is_some() {
             tokio::select! {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Reports a lost watch and gives the time of the next one.
+    /// Reports a lost watch and returns the time to open the next one.
     fn schedule_retry(&mut self, lost: &LostWatch) -> Instant {
         self.directory.context().scheduler.watch_failed();
         let retry_at = lost.since + self.backoff.next_delay();
@@ -113,7 +114,7 @@
         retry_at
     }
 
-    /// Opens one watch and applies what it brings until it is lost.
+    /// Opens a watch and applies its lists until it is lost.
     async fn watch_until_lost(&mut self, address: SocketAddr) -> LostWatch {
         self.directory.context().counters.watches_opened.increment();
         let started_at = Instant::now();
@@ -123,10 +124,10 @@
         }
     }
 
-    /// Opens a watch, after a snapshot if no list has been applied yet. The list that came with the
-    /// configuration will do, although it may be old: the watch begins with what it has missed. Discovery's
-    /// work for a snapshot grows with the number of endpoints, so a fleet that started together and fetched
-    /// one each would overload it.
+    /// Opens a watch, after fetching a snapshot if no list has been applied yet. An endpoint list from the
+    /// configuration is sufficient even if outdated, as the watch starts with the changes since then. The
+    /// cost of a snapshot grows with the number of endpoints, so a fleet that starts at once and fetches one
+    /// per replica would overload discovery.
     async fn open(&mut self, address: SocketAddr) -> Result<Incoming, WatchError> {
         let version = match self.directory.version() {
             Some(version) => version,
@@ -140,8 +141,8 @@
         open_watch(address, version, self.response_timeout).await
     }
 
-    /// Applies the lists of an open watch until it is lost. A watch that falls silent is taken as lost since
-    /// the last thing that arrived on it.
+    /// Applies the lists of an open watch until it is lost. A silent watch counts as lost since its last
+    /// chunk.
     async fn apply_deltas(&mut self, mut body: Incoming, started_at: Instant) -> LostWatch {
         let mut reader = ListReader::default();
         let mut last_chunk_at = Instant::now();
@@ -163,14 +164,14 @@
             for list in &lists {
                 self.directory.apply(list);
             }
-            // A list that has only begun says nothing yet.
+            // While a list is incomplete, later changes may still be unknown.
             if reader.between_lists() {
                 self.mark_current(last_chunk_at);
             }
         }
     }
 
-    /// Records that everything that discovery had published at that time has been applied.
+    /// Records that all changes published by discovery up to this time have been applied.
     fn mark_current(&mut self, at: Instant) {
         self.directory.mark_current(at);
         self.notified.send_replace(true);
