--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! A router that pairs prefill endpoints with decode endpoints of a language model.
 //!
-//! [`scheduler`] makes every decision and does no I/O. The other modules carry its decisions out: [`server`]
-//! reads requests, [`request`] runs each request's task, [`upstream`] talks to endpoints, [`discovery`]
-//! watches the endpoint list, and [`config`] reads the configuration. [`simulator`] lets a simulator drive
-//! the same decisions.
+//! [`scheduler`] makes all decisions and performs no I/O. The other modules carry them out: [`server`]
+//! accepts requests, [`request`] runs a task per request, [`upstream`] communicates with endpoints,
+//! [`discovery`] watches the endpoint list, and [`config`] reads the configuration. [`simulator`] lets a
+//! simulator drive the same scheduler.
 #![warn(clippy::expect_used, clippy::unwrap_used)]
 
 #[doc = include_str!("../README.md")]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The router's program: its arguments, its log and its exit code. [`startup`] starts and runs the router.
+//! Entry point of the router: command-line arguments, logging and the exit code. [`startup`] starts and runs
+//! the router.
 #![warn(clippy::expect_used, clippy::unwrap_used)]
 
 mod startup;
@@ -12,22 +13,22 @@
 
 use crate::startup::{ConfigPaths, StartError};
 
-/// Why the program ends in failure.
+/// An error that terminates the program.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
-    /// The arguments cannot be understood.
+    /// The command-line arguments are invalid.
     #[error("usage: inference-router [--chat FILE]")]
     Usage,
-    /// The async runtime cannot be set up.
+    /// The async runtime cannot be created.
     #[error(transparent)]
     Runtime(io::Error),
-    /// The router cannot start.
+    /// The router failed to start.
     #[error(transparent)]
     Start(#[from] StartError),
 }
 
-/// Where the configurations are: the platform's is named by `LB_CONFIG`, the chat API's by the argument
-/// `--chat FILE`.
+/// Returns the configuration paths: `LB_CONFIG` for the platform API and the `--chat FILE` argument for the
+/// chat API.
 fn config_paths() -> Result<ConfigPaths, ProgramError> {
     let mut arguments = std::env::args_os().skip(1);
     let chat = match (arguments.next(), arguments.next(), arguments.next()) {
@@ -39,8 +40,8 @@
     Ok(ConfigPaths { platform, chat })
 }
 
-/// Logs to standard error at the level of `RUST_LOG`: `debug` follows each request. The default is what
-/// operators need.
+/// Logs to standard error at the level given by `RUST_LOG`, or at `info` by default. `debug` adds the events
+/// of each request.
 fn init_logging() {
     let level = std::env::var("RUST_LOG").ok().and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
@@ -51,7 +52,7 @@
         .init();
 }
 
-/// Runs the router until it is asked to end. All of it runs on this thread.
+/// Runs the router on the current thread until it is asked to shut down.
 fn run() -> Result<(), ProgramError> {
     let paths = config_paths()?;
     let runtime =
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of what is accepted, sent and answered, and how they are shown.
+//! Counters for requests, attempts and connections, and their export as JSON and to the log.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -9,38 +9,38 @@
 
 use crate::scheduler::Outcome;
 
-/// Between two log lines with what was counted in the meantime: operators compare good intervals with bad
-/// ones.
+/// Interval between log lines with the counter increases. Operators compare healthy with unhealthy
+/// intervals.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A count of events since the start of the process.
+/// A monotonic event counter.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Adds one.
+    /// Increments the counter by one.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// Declares [`Counters`], with the JSON key of each field. Dashboards and scripts read the keys, which stay
-/// as they are.
+/// Declares [`Counters`] with the JSON key of each field. Dashboards and scripts depend on the keys, so they
+/// must not change.
 macro_rules! counters {
     ($($(#[$doc:meta])* $field:ident => $json_key:literal),* $(,)?) => {
-        /// What one API has counted since the start of the process.
+        /// Counters of one API since the start of the process.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $field: Counter,)*
         }
 
         impl Counters {
-            /// All counts by JSON key.
+            /// Returns all values, keyed by JSON key.
             pub fn all(&self) -> BTreeMap<&'static str, u64> {
                 BTreeMap::from([$(($json_key, self.$field.get())),*])
             }
@@ -49,98 +49,99 @@
 }
 
 counters! {
-    /// Requests accepted; each gets one final answer unless its client disconnects.
+    /// Accepted requests. Each gets one final answer unless its client disconnects.
     accepted => "taken",
-    /// Requests rejected as malformed with a 4xx, never accepted.
+    /// Malformed requests, rejected with a 4xx status before being accepted.
     malformed => "malformed",
-    /// Requests shed because the router was at its limits, never accepted.
+    /// Requests shed at the router's limits before being accepted.
     shed => "shed",
-    /// Final answers: a complete stream.
+    /// Final answers that were complete streams.
     completed => "served",
-    /// Final answers: a stream that broke after its first event.
+    /// Final answers whose stream was interrupted after its first event.
     interrupted => "broken",
-    /// Final answers: the scheduler's rejection.
+    /// Final answers that were rejections by the scheduler.
     rejected => "refused",
-    /// Final answers: an error.
+    /// Final answers that were errors.
     failed => "failed",
-    /// Requests that failed because the scheduler made no decision before their deadline.
+    /// Requests that failed because the scheduler made no decision before the deadline.
     decision_timeouts => "overdue",
     /// Requests whose client disconnected before the final answer.
     client_disconnects => "left",
-    /// Client connections that their clients closed or reset, or that ended after their last response.
+    /// Client connections closed or reset by the client, or closed after their last response.
     closes_ended => "closes_ended",
-    /// Client connections closed by their clients after bytes that nobody reads.
+    /// Client connections closed by the client after sending bytes that are never read.
     closes_unread_bytes => "closes_behind_request",
-    /// Client connections closed because they were idle.
+    /// Client connections closed for being idle.
     closes_idle => "closes_idle",
-    /// Client connections closed because a request's head took too long.
+    /// Client connections closed because a request head took too long to arrive.
     closes_slow_head => "closes_slow_head",
-    /// Client connections closed to make room for others.
+    /// Client connections evicted in favor of other connections.
     closes_evicted => "closes_room",
     /// Attempts sent to endpoints.
     attempts => "attempts",
     /// Attempts that ended with a complete stream.
     attempts_completed => "attempts_served",
-    /// Attempts that finished a prefill.
+    /// Attempts that completed a prefill.
     attempts_prefilled => "attempts_read",
-    /// Attempts rejected by an endpoint that was full or draining.
+    /// Attempts rejected by a full or draining endpoint.
     attempts_rejected => "attempts_full",
-    /// Attempts rejected because the state to fetch was not there.
+    /// Attempts rejected because the KV cache to fetch did not exist.
     attempts_state_missing => "attempts_no_state",
-    /// Attempts answered with an error.
+    /// Attempts that the endpoint answered with an error.
     attempts_error => "attempts_error",
-    /// Attempts that ran out of time.
+    /// Attempts that timed out.
     attempts_timed_out => "attempts_timed_out",
-    /// Attempts for which no connection could be made.
+    /// Attempts that failed to connect.
     attempts_connect_failed => "attempts_unreachable",
-    /// Attempts that this router did not send in time, or at all.
+    /// Attempts that this router sent too late or not at all.
     attempts_not_sent => "attempts_not_sent",
-    /// Attempts whose connection was lost.
+    /// Attempts that failed because the connection was lost.
     attempts_connection_lost => "attempts_broken",
-    /// Attempts whose response was malformed.
+    /// Attempts with a malformed response.
     attempts_malformed => "attempts_malformed",
-    /// Attempts cancelled.
+    /// Cancelled attempts.
     attempts_cancelled => "attempts_cancelled",
-    /// Attempts that the scheduler ordered and that were abandoned before they were sent.
+    /// Attempts requested by the scheduler that were abandoned before being sent.
     attempts_abandoned => "attempts_moot",
-    /// Attempts not written because their request had ended.
+    /// Attempts not sent because the request had ended.
     denied_request_ended => "denied_unwanted",
-    /// Attempts not written because their endpoint had begun to drain.
+    /// Attempts not sent because the endpoint had started draining.
     denied_draining => "denied_draining",
-    /// Attempts not written because they would have begun too late.
+    /// Attempts not sent because the latest start time had passed.
     denied_late => "denied_late",
-    /// Attempts not written because their response deadline had passed.
+    /// Attempts not sent because the response deadline had passed.
     denied_expired => "denied_expired",
-    /// Violations: attempts that would have run beside another one of their request; they are not written.
+    /// Violations: attempts that would have run concurrently with another attempt of the same request. They
+    /// are not sent.
     violations_concurrent_attempt => "violations_second_attempt",
     /// Violations: reservations held for longer than the limit.
     violations_reservation_overrun => "violations_held_too_long",
-    /// Violations: final answers after the deadline.
+    /// Violations: final answers sent after the deadline.
     violations_late_answer => "violations_answered_late",
-    /// Violations: requests that ended without a final answer though their client waited.
+    /// Violations: requests that ended without a final answer although the client was waiting.
     violations_unanswered => "violations_unanswered",
-    /// Releases of reservations that an endpoint took.
+    /// Reservation releases accepted by an endpoint.
     releases => "releases",
-    /// Releases of reservations that no endpoint took in time.
+    /// Reservation releases that no endpoint accepted in time.
     releases_failed => "releases_lost",
     /// Connections opened to endpoints.
     connections_opened => "connects",
-    /// Connections to endpoints used again.
+    /// Reuses of pooled connections to endpoints.
     connections_reused => "reuses",
-    /// Health checks sent.
+    /// Health checks sent to endpoints.
     health_checks => "probes",
-    /// Watches on discovery that were opened, or tried to.
+    /// Attempts to open a watch on discovery, including failed ones.
     watches_opened => "watches",
-    /// Endpoint lists received, snapshots and deltas.
+    /// Endpoint lists received, both snapshots and deltas.
     lists_received => "lists",
-    /// Configurations reloaded.
+    /// Successful configuration reloads.
     reloads => "reloads",
-    /// Configurations that could not be reloaded.
+    /// Failed configuration reloads.
     reloads_failed => "reloads_failed",
 }
 
 impl Counters {
-    /// Counts how an attempt ended.
+    /// Counts the outcome of an attempt.
     pub fn attempt_ended(&self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Completed => &self.attempts_completed,
@@ -159,7 +160,8 @@
         counter.increment();
     }
 
-    /// Logs, for ever, what was counted since the last such line; nothing where nothing was.
+    /// Periodically logs the counter increases since the previous log line. Intervals without any are
+    /// skipped.
     pub async fn log_periodically(self: Rc<Self>, api: &'static str) {
         let mut logged = self.all();
         loop {
@@ -174,13 +176,13 @@
         }
     }
 
-    /// All counts as one line of JSON.
+    /// Returns all values as a single line of JSON.
     pub fn to_json(&self) -> String {
         serde_json::to_string(&self.all()).unwrap_or_default()
     }
 }
 
-/// By how much each count has grown, without those that have not.
+/// Returns the increase of each counter, omitting counters that did not change.
 fn growth(
     earlier: &BTreeMap<&'static str, u64>, later: &BTreeMap<&'static str, u64>,
 ) -> BTreeMap<&'static str, u64> {
--- a/src/routing_context.rs
+++ b/src/routing_context.rs
@@ -1,4 +1,4 @@
-//! What all requests of one API share: the scheduler, the endpoints and the counters.
+//! State shared by all requests of one API: the scheduler, the endpoints and the counters.
 
 use std::rc::Rc;
 
@@ -10,32 +10,32 @@
 use crate::scheduler_handle::{FleetCommand, SchedulerHandle};
 use crate::upstream::exchange::Upstream;
 
-/// One fleet of endpoints with its scheduler. Clones share all of it.
+/// A fleet of endpoints and its scheduler. Clones share the same state.
 #[derive(Clone)]
 pub struct RoutingContext {
-    /// Makes every decision.
+    /// Makes all routing decisions.
     pub scheduler: SchedulerHandle,
-    /// Talks to the endpoints.
+    /// Communicates with the endpoints.
     pub upstream: Rc<Upstream>,
-    /// Counts what happens.
+    /// Counters of the API.
     pub counters: Rc<Counters>,
 }
 
 impl RoutingContext {
-    /// Checks an endpoint's health and load, and reports it to the scheduler.
+    /// Checks the health and load of an endpoint and reports the result to the scheduler.
     async fn check_health(self, endpoint: EndpointId) {
         let checked = self.upstream.health_check(endpoint).await;
         self.scheduler.health_checked(endpoint, checked.outcome, checked.load_report);
     }
 }
 
-/// Carries out what the scheduler wants of the fleet, until the scheduler ends.
+/// Executes the scheduler's fleet-wide commands until the scheduler ends.
 pub async fn run_fleet_commands(context: RoutingContext, mut commands: UnboundedReceiver<FleetCommand>) {
     while let Some(command) = commands.recv().await {
         match command {
             FleetCommand::CloseIdleConnections(endpoint) => context.upstream.pool().close_idle(endpoint),
             FleetCommand::HealthCheck(endpoint) => {
-                // In a task of its own, so that an endpoint that does not respond delays no other command.
+                // Runs in a separate task so that an unresponsive endpoint does not delay other commands.
                 spawn_local(context.clone().check_health(endpoint));
             }
         }
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: after a termination signal the process still takes what is on its way, drains, and
-//! ends.
+//! Graceful shutdown: after a termination signal, the process keeps accepting for a grace period, drains, and
+//! exits.
 
 use std::cell::Cell;
 use std::io;
@@ -10,26 +10,26 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
 
-/// For how long after the termination signal clients may still open connections.
+/// How long clients may still open connections after the termination signal.
 pub const CONNECT_GRACE: Duration = Duration::from_millis(1_000);
 
-/// For how long after the termination signal requests are still accepted. The process may be killed from 0.7
-/// s after the signal on, so a request that arrives later might never be answered: it is rejected, and its
-/// client can go elsewhere.
+/// How long requests are still accepted after the termination signal. The process may be killed as early as
+/// 0.7 s after the signal, so later requests might never be answered. They are rejected, which lets their
+/// clients retry elsewhere.
 const REQUEST_GRACE: Duration = Duration::from_millis(600);
 
-/// The signals that ask the process to end, SIGTERM and SIGINT.
+/// Handlers for the termination signals, SIGTERM and SIGINT.
 pub struct TerminationSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl TerminationSignals {
-    /// Registers for both signals. From now on they no longer kill the process.
+    /// Registers handlers for both signals. From then on, they no longer kill the process.
     ///
     /// # Errors
     ///
-    /// Fails where the system refuses to register a signal.
+    /// Returns an error if a handler cannot be registered.
     pub fn listen() -> io::Result<Self> {
         Ok(TerminationSignals {
             terminate: signal(SignalKind::terminate())?,
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Waits for either signal.
+    /// Waits for one of the signals.
     pub async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -46,24 +46,24 @@
     }
 }
 
-/// The state of the shutdown, handed down to all that must know of it. All clones share one state.
+/// Shutdown state of the process. Clones share the same state.
 #[derive(Clone)]
 pub struct Shutdown {
-    /// When the shutdown began.
+    /// When the shutdown started, if it has.
     started_at: watch::Sender<Option<Instant>>,
-    /// Whether no more connections are accepted.
+    /// Whether the listeners have stopped accepting connections.
     listeners_closed: watch::Sender<bool>,
     unfinished: Rc<Unfinished>,
 }
 
-/// What must end before the process does.
+/// Tracks work that must finish before the process exits.
 #[derive(Default)]
 struct Unfinished {
     guards: Cell<usize>,
     none_left: Notify,
 }
 
-/// Keeps the process from ending until it is dropped.
+/// Delays the exit of the process until it is dropped.
 pub struct ShutdownGuard(Rc<Unfinished>);
 
 impl ShutdownGuard {
@@ -93,32 +93,32 @@
 }
 
 impl Shutdown {
-    /// Whether the shutdown has begun.
+    /// Returns whether the shutdown has started.
     pub fn has_begun(&self) -> bool {
         self.started_at.borrow().is_some()
     }
 
-    /// Whether the shutdown has gone on for so long that no request may be accepted any more.
+    /// Returns whether requests are rejected because the grace period for requests is over.
     pub fn rejects_requests(&self) -> bool {
         self.started_at.borrow().is_some_and(|started_at| started_at.elapsed() >= REQUEST_GRACE)
     }
 
-    /// Waits until the shutdown begins.
+    /// Waits until the shutdown starts.
     pub async fn wait_begun(&self) {
         let _ = self.started_at.subscribe().wait_for(Option::is_some).await;
     }
 
-    /// Waits until no more connections are accepted.
+    /// Waits until the listeners stop accepting connections.
     pub async fn wait_closed(&self) {
         let _ = self.listeners_closed.subscribe().wait_for(|closed| *closed).await;
     }
 
-    /// Keeps the process from ending until the guard is dropped.
+    /// Returns a guard that delays the exit of the process until it is dropped.
     pub fn guard(&self) -> ShutdownGuard {
         ShutdownGuard::new(&self.unfinished)
     }
 
-    /// Waits for a termination signal, then for the grace period of connections, then for all guards to be
+    /// Waits for a termination signal, the grace period for connections, and then for all guards to be
     /// dropped.
     pub async fn run(&self, mut signals: TerminationSignals) {
         signals.received().await;
@@ -132,7 +132,7 @@
 
     async fn wait_finished(&self) {
         loop {
-            // Created before the check, so that a guard that is dropped after it still wakes this task.
+            // Created before the check so that a guard dropped after the check still wakes this task.
             let none_left = self.unfinished.none_left.notified();
             if self.unfinished.guards.get() == 0 {
                 return;
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -1,4 +1,5 @@
-//! What starts, in which order. The listeners come last: from then on clients connect, and their time runs.
+//! Startup sequence. Listeners are opened last because clients connect, and their deadlines run, from that
+//! point on.
 
 use std::io;
 use std::net::SocketAddr;
@@ -31,78 +32,78 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a start waits for discovery before the router is ready with the endpoint list of its
-/// configuration, which may be old.
+/// How long startup waits for discovery before the router becomes ready with the endpoint list in its
+/// configuration, which may be outdated.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a start repeats what the system refuses to do; a start may take 30 s in all.
+/// How long startup retries failing system calls. Startup may take at most 30 s in total.
 const START_TIMEOUT: Duration = Duration::from_secs(15);
-/// From one try of what the system refuses to do to the next.
+/// Delay between retries of a failing system call during startup.
 const START_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Why the router cannot start.
+/// An error that prevents the router from starting.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
-    /// A configuration cannot be used.
+    /// A configuration file cannot be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The identity files that a configuration names cannot be used.
+    /// The TLS files referenced by a configuration cannot be used.
     #[error("{}: {}", .path.display(), single_line(.source))]
     Identity {
-        /// The configuration.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// What is wrong with the identity files.
+        /// The underlying error.
         source: IdentityError,
     },
-    /// There is no configuration at all.
-    #[error("nothing to do: set LB_CONFIG for the platform's front or --chat FILE for the chat front")]
+    /// Neither API is configured.
+    #[error("nothing to do: set LB_CONFIG for the platform API or pass --chat FILE for the chat API")]
     NothingToDo,
-    /// The system refuses an address to listen on.
+    /// A listen address cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The listen address.
         address: SocketAddr,
-        /// Why it is refused.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The system refuses to register a signal.
+    /// A signal handler cannot be registered.
     #[error(transparent)]
     Signals(#[from] io::Error),
 }
 
-/// Where the configuration of each API is; none where the API is not served.
+/// Path of each API's configuration file, or `None` if the API is not served.
 pub(crate) struct ConfigPaths {
-    /// Of the platform API.
+    /// Path for the platform API.
     pub(crate) platform: Option<PathBuf>,
-    /// Of the chat API.
+    /// Path for the chat API.
     pub(crate) chat: Option<PathBuf>,
 }
 
-/// The platform API's configuration, and the file in which it may be replaced.
+/// The platform configuration and the path to reload it from.
 struct PlatformSource {
     config: PlatformConfig,
     path: PathBuf,
 }
 
-/// The chat API's configuration, and what verifies its clients' identities, where they must prove them.
+/// The chat configuration and the verifier of client identities, if clients must authenticate.
 struct ChatSource {
     config: ChatConfig,
     identities: Option<IdentityVerifier>,
 }
 
-/// What the APIs of one process share.
+/// State shared by the APIs of the process.
 struct Process {
     clock: Clock,
     shutdown: Shutdown,
 }
 
-/// One API that has started, and what it counts.
+/// A started API and its counters.
 struct RunningApi {
-    /// Its name in the log.
+    /// Name of the API in the log.
     name: &'static str,
     counters: Rc<Counters>,
 }
 
-/// Starts the router and runs it until it is asked to end and all is finished.
+/// Starts the router and runs it until a graceful shutdown is complete.
 pub(crate) async fn run(paths: &ConfigPaths) -> Result<(), StartError> {
     let clock = Clock::start();
     let hangup_signals = hangups()?;
@@ -111,7 +112,7 @@
     let apis = tokio::select! {
         started = start(paths, &process, hangup_signals) => started?,
         () = termination_signals.received() => {
-            tracing::info!("shutdown requested before the start was complete");
+            tracing::info!("shutdown requested during startup");
             return Ok(());
         }
     };
@@ -125,7 +126,7 @@
     Ok(())
 }
 
-/// Reads all configurations, then starts an API for each.
+/// Reads all configuration files, then starts the configured APIs.
 async fn start(
     paths: &ConfigPaths, process: &Process, hangup_signals: Signal,
 ) -> Result<Vec<RunningApi>, StartError> {
@@ -153,7 +154,7 @@
     Ok(apis)
 }
 
-/// Reads the chat API's configuration and the identity files that it names.
+/// Reads the chat configuration and the TLS files that it references.
 async fn read_chat_config(path: &Path) -> Result<ChatSource, StartError> {
     let mut config = read_config(|| ChatConfig::read(path)).await?;
     let identities = match config.tls.take() {
@@ -169,7 +170,7 @@
         .map_err(|source| StartError::Identity { path: config_path.to_owned(), source })
 }
 
-/// Reads the platform's configuration and leaves it the sockets that the chat API does not use.
+/// Reads the platform configuration and reserves the sockets that the chat API needs.
 async fn read_platform_config(path: &Path, chat: Option<&ChatSource>) -> Result<PlatformSource, StartError> {
     let mut config = read_config(|| PlatformConfig::read(path)).await?;
     let chat_sockets = chat.map_or(0, |chat| chat.config.max_clients + chat.config.pool.max_connections);
@@ -177,7 +178,7 @@
     Ok(PlatformSource { config, path: path.to_owned() })
 }
 
-/// Starts the platform API: routing, reloads, the watch on discovery, and at last the listener.
+/// Starts the platform API: routing, configuration reloads, the discovery watch and finally the listener.
 async fn start_platform_api(
     source: PlatformSource, process: &Process, hangup_signals: Signal,
 ) -> Result<RunningApi, StartError> {
@@ -203,7 +204,7 @@
     Ok(RunningApi { name: "platform", counters })
 }
 
-/// Starts the watch on discovery. The result turns true once the router is ready.
+/// Starts the discovery watch. The returned receiver becomes true once the router is ready.
 fn start_discovery(
     config: &PlatformConfig, context: RoutingContext, clock: Clock, address: watch::Receiver<SocketAddr>,
 ) -> watch::Receiver<bool> {
@@ -219,8 +220,8 @@
     is_ready
 }
 
-/// Signals that the router is ready: once discovery has answered, or when that takes too long and the
-/// configuration has an endpoint list.
+/// Signals readiness once discovery has answered, or after a timeout if the configuration has an endpoint
+/// list.
 async fn signal_ready(
     mut discovery_answered: watch::Receiver<bool>, has_known_endpoints: bool, ready: watch::Sender<bool>,
 ) {
@@ -233,7 +234,7 @@
     ready.send_replace(true);
 }
 
-/// Starts the chat API: routing, its fixed endpoints, and at last the listener.
+/// Starts the chat API: routing, the fixed endpoints and finally the listener.
 async fn start_chat_api(source: ChatSource, process: &Process) -> Result<RunningApi, StartError> {
     let ChatSource { mut config, identities } = source;
     let seed = process.clock.now() as u64 ^ (u64::from(std::process::id()) << 48);
@@ -255,7 +256,7 @@
     Ok(RunningApi { name: "chat", counters })
 }
 
-/// Makes the endpoints of the chat API's configuration known, all ready.
+/// Registers the endpoints of the chat configuration, all of them ready.
 fn add_fixed_endpoints(config: &ChatConfig, context: &RoutingContext) {
     let mut updates = Vec::new();
     for (index, endpoint) in config.endpoints.iter().enumerate() {
@@ -267,7 +268,7 @@
     context.scheduler.endpoints_changed(true, updates);
 }
 
-/// The scheduler and the endpoints of one API, with the tasks that are still to be spawned.
+/// The scheduler and endpoints of one API, before its background tasks are spawned.
 struct Routing {
     context: RoutingContext,
     fleet_commands: UnboundedReceiver<FleetCommand>,
@@ -283,7 +284,7 @@
         Routing { context, fleet_commands }
     }
 
-    /// Spawns the tasks that concern all endpoints: the scheduler's commands, and the eviction of idle
+    /// Spawns the background tasks for the fleet: the scheduler's commands and the eviction of idle
     /// connections.
     fn spawn_fleet_tasks(self) -> RoutingContext {
         spawn_local(run_fleet_commands(self.context.clone(), self.fleet_commands));
@@ -293,8 +294,8 @@
     }
 }
 
-/// Listens on an address. A router that restarts may find its address still in use, or the machine short of a
-/// resource, so what the system refuses is tried again for a while.
+/// Binds a listener. Failures are retried until a timeout, as the address may still be in use after a restart
+/// or the machine may be short of resources.
 async fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
     let give_up_at = Instant::now() + START_TIMEOUT;
     loop {
@@ -309,7 +310,7 @@
     }
 }
 
-/// Reads a configuration. Where the system fails to read the file, this is tried again for a while.
+/// Reads a configuration file, retrying transient errors until a timeout.
 async fn read_config<T>(read: impl Fn() -> Result<T, ConfigError>) -> Result<T, StartError> {
     let give_up_at = Instant::now() + START_TIMEOUT;
     loop {
