--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! How a replica calls discovery, which serves the complete fleet.
+//! How a replica calls a discovery service that serves the whole fleet.
 
 mod common;
 
@@ -11,22 +11,22 @@
 use common::router_process::RouterProcess;
 use inference_router::discovery::backoff::Backoff;
 
-/// A call to discovery.
+/// A call to discovery that has not been answered yet.
 struct DiscoveryCall {
     request_line: String,
     socket: TcpStream,
 }
 
-/// Accepts one call to discovery, which has not been answered then.
+/// Accepts one call to discovery without answering it.
 fn accept_call(listener: &TcpListener) -> DiscoveryCall {
-    let (socket, _) = listener.accept().expect("a call");
-    let mut lines = BufReader::new(socket.try_clone().expect("a second handle"));
+    let (socket, _) = listener.accept().expect("discovery call");
+    let mut lines = BufReader::new(socket.try_clone().expect("clone socket"));
     let mut request_line = String::new();
-    lines.read_line(&mut request_line).expect("a request line");
+    lines.read_line(&mut request_line).expect("read request line");
     let mut line = String::new();
     while line != "\r\n" {
         line.clear();
-        lines.read_line(&mut line).expect("a head");
+        lines.read_line(&mut line).expect("read request head");
     }
     DiscoveryCall { request_line: request_line.trim_end().to_owned(), socket }
 }
@@ -34,10 +34,11 @@
 #[test]
 fn a_start_with_a_known_endpoint_list_makes_one_call_for_its_changes_and_waits_for_it() {
     let base = address();
-    let listener = TcpListener::bind(format!("{base}:8500")).expect("a free address");
+    let listener = TcpListener::bind(format!("{base}:8500")).expect("bind discovery address");
     let config = platform_config(&base);
-    let text = std::fs::read_to_string(&config).expect("the file just written");
-    // In this mode discovery is one service for all replicas; with `push` an agent of the replica's own answers at once.
+    let text = std::fs::read_to_string(&config).expect("read configuration");
+    // With `ask`, one discovery service serves all replicas. With `push`, a local agent serves only this
+    // replica.
     let text = text.replace("\"membershipMode\": \"push\"", "\"membershipMode\": \"ask\"");
     let entry = endpoint_entry(&base, "w1", "Ready");
     let known = format!("\"known\":{},\"settings\"", endpoint_list(41, true, &[entry]));
@@ -45,19 +46,20 @@
     let mut router = RouterProcess::start(&base, &[], &[("LB_CONFIG", &config)]);
     let mut call = accept_call(&listener);
     assert_eq!(call.request_line, "GET /api/targets?follow=1&since=41 HTTP/1.1");
-    // A crowded discovery queues calls: it would work in vain on each that times out early.
+    // An overloaded discovery service queues calls and keeps working on those that time out early.
     std::thread::sleep(Duration::from_secs(2));
     let draining = endpoint_entry(&base, "w1", "Terminating");
     let change = endpoint_list(42, false, &[draining]) + "\n";
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    write!(call.socket, "{head}{:x}\r\n{change}\r\n", change.len()).expect("it listens");
+    write!(call.socket, "{head}{:x}\r\n{change}\r\n", change.len()).expect("write discovery response");
     router.wait_for_log("endpoint=w1 state=Terminating");
     router.wait_for_log("ready endpoint_list=\"discovery\"");
     let log = router.terminate();
     assert!(log.contains("\"watches\":1}"), "{log}");
 }
 
-/// The most calls in any second, from `from` seconds on, of a fleet that starts at once and whose calls all fail.
+/// Returns the maximum number of calls per second, from second `from` on, of a fleet that starts at once and
+/// whose calls all fail.
 fn busiest_second(replicas: u32, from: u64) -> usize {
     let mut calls: BTreeMap<u64, usize> = BTreeMap::new();
     for seed in 0..u64::from(replicas) {
@@ -73,22 +75,26 @@
 
 #[test]
 fn a_large_fleet_that_starts_together_and_is_rejected_spreads_its_calls() {
-    assert!(busiest_second(100, 0) <= 50, "{} calls at first", busiest_second(100, 0));
-    // An even spread over the longest gap that the six seconds allow is a third of the fleet a second.
-    assert!(busiest_second(100, 15) <= 45, "{} calls a second go on", busiest_second(100, 15));
-    // And never over half of the fleet, where so many are due within four seconds.
-    assert!(busiest_second(400, 0) <= 200, "{} calls of a larger fleet", busiest_second(400, 0));
+    assert!(busiest_second(100, 0) <= 50, "{} calls in one second after startup", busiest_second(100, 0));
+    // The 6 s limit allows delays of up to 4 s, so evenly spread calls are a third of the fleet per second.
+    assert!(busiest_second(100, 15) <= 45, "{} calls in one second while retrying", busiest_second(100, 15));
+    // At most half of the fleet calls in any second, even though so many replicas must call within 4 s.
+    assert!(
+        busiest_second(400, 0) <= 200,
+        "{} calls in one second of the larger fleet",
+        busiest_second(400, 0)
+    );
 }
 
 #[test]
 fn no_replica_of_any_fleet_waits_so_long_that_it_sees_a_change_after_six_seconds() {
-    // Two of the six are for the time that a call is queued at discovery.
+    // A call may be queued at discovery for 2 s of the 6 s.
     for replicas in [1, 20, 100, 300, 1_000] {
         for seed in 0..200 {
             let mut backoff = Backoff::new(replicas, seed);
             let longest =
                 (0..8).map(|_| backoff.next_delay()).max().unwrap_or_default().max(backoff.initial_delay());
-            assert!(longest <= Duration::from_secs(4), "{longest:?} with {replicas}");
+            assert!(longest <= Duration::from_secs(4), "{longest:?} with {replicas} replicas");
         }
     }
 }
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists and configurations that arrive in pieces, have malformed entries, or are half written.
+//! Endpoint lists and configuration files that are split, contain malformed records, or are incomplete.
 
 mod common;
 
@@ -13,7 +13,7 @@
 
 use inference_router::discovery::endpoint_list::ListReader;
 
-/// Once this is answered, the router has read what was sent to it before.
+/// Exchanges a request with the router. Afterwards it has read all data that was sent to it before.
 fn round_trip(base: &str) {
     let mut other = connect_client(base);
     other.send(READINESS_REQUEST);
@@ -31,7 +31,8 @@
     }
     let mut rest = text.as_str();
     for end in ["\"version\":2", "\"full\":fal", "\"id\":\"w", "Term", "\"weight\":1.", ",\"started_ms\":"] {
-        let (piece, remaining) = rest.split_at(rest.find(end).expect("still to come") + end.len());
+        let (piece, remaining) =
+            rest.split_at(rest.find(end).expect("split point in the rest of the text") + end.len());
         router.watch.send(piece);
         round_trip(&base);
         rest = remaining;
@@ -68,7 +69,10 @@
     client.send(&request("u1", "climb-query", 300));
     assert!(client.read_message().head.starts_with("HTTP/1.1 429"));
     router.process.terminate();
-    assert!(prefill_stub.has_no_unaccepted_connection(), "sent to an endpoint in an unknown state");
+    assert!(
+        prefill_stub.has_no_unaccepted_connection(),
+        "a request was sent to an endpoint with a malformed record"
+    );
 }
 
 #[test]
@@ -82,7 +86,7 @@
         let lists: Vec<_> = text
             .as_bytes()
             .chunks(piece_length)
-            .flat_map(|bytes| reader.push(bytes).expect("a list"))
+            .flat_map(|bytes| reader.push(bytes).expect("valid list"))
             .collect();
         assert_eq!(lists.len(), 1);
         assert_eq!(lists[0].endpoints.len(), 3_200);
@@ -90,10 +94,10 @@
     };
     let at_once = time_to_read(text.len());
     let in_pieces = time_to_read(97);
-    println!("{} bytes: at once {at_once:?}, in pieces of 97 bytes {in_pieces:?}", text.len());
+    println!("{} bytes: in one piece {at_once:?}, in pieces of 97 bytes {in_pieces:?}", text.len());
     assert!(
         in_pieces < 5 * at_once + Duration::from_millis(200),
-        "at once {at_once:?}, in pieces {in_pieces:?}"
+        "in one piece {at_once:?}, in pieces {in_pieces:?}"
     );
 }
 
@@ -104,7 +108,7 @@
     let path = folder(&base).join("config.json");
     let moved = format!("{base}:{}", port("moved"));
     let text =
-        std::fs::read_to_string(&path).expect("the configuration").replace(&format!("{base}:8500"), &moved);
+        std::fs::read_to_string(&path).expect("read configuration").replace(&format!("{base}:8500"), &moved);
     let mut moved_discovery = DiscoveryStub::start_at(&base, "moved");
     file(&base, "config.json", &text[..text.len() / 2]);
     router.process.signal("HUP");
--- a/tests/listener_close.rs
+++ b/tests/listener_close.rs
@@ -1,4 +1,4 @@
-//! How the listener is closed: the system accepts no connection that nobody would serve.
+//! Closing the listener: the kernel must not accept connections that the process will never serve.
 
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Answers every request with the same text.
+/// Handler that answers every request with the same text.
 #[derive(Clone)]
 struct FixedAnswer;
 
@@ -29,25 +29,26 @@
     }
 }
 
-/// Serves until SIGTERM and a complete shutdown; returns the address that was served.
+/// Serves until a shutdown by SIGTERM is complete, and returns the listen address.
 async fn serve_until_sigterm() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it listens");
-    let signals = TerminationSignals::listen().expect("signals");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind listener");
+    let address = listener.local_addr().expect("listener address");
+    let signals = TerminationSignals::listen().expect("register signal handlers");
     let shutdown = Shutdown::default();
     let limiter: Rc<ConnectionLimiter> = ConnectionLimiter::new(8, 1_024);
     spawn_local(serve(listener, None, limiter, shutdown.clone(), |_| FixedAnswer));
     let own_pid = std::process::id().to_string();
-    assert!(Command::new("kill").args(["-TERM", &own_pid]).status().expect("kill runs").success());
+    assert!(Command::new("kill").args(["-TERM", &own_pid]).status().expect("run kill").success());
     shutdown.run(signals).await;
     address
 }
 
 #[test]
 fn the_system_accepts_no_connection_once_the_process_is_about_to_exit() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("create runtime");
     let tasks = LocalSet::new();
     let address = tasks.block_on(&runtime, serve_until_sigterm());
-    // All tasks are as they were when the last connection had been closed; the process would exit here.
-    assert!(TcpStream::connect(address).is_err(), "it accepted a connection that it would reset");
+    // No task has run since the last connection was closed, which is the state in which the process would
+    // exit.
+    assert!(TcpStream::connect(address).is_err(), "a connection was accepted that would be reset at exit");
 }
--- a/tests/paused_process.rs
+++ b/tests/paused_process.rs
@@ -1,5 +1,5 @@
-//! A router that is paused by its system, that gets requests with hardly any time left, or that starts while discovery
-//! is silent.
+//! A router that is paused, that receives requests close to their deadline, or that starts while discovery
+//! does not respond.
 
 mod common;
 
@@ -11,7 +11,8 @@
 use common::router_process::{PATIENCE, RouterProcess, start_router};
 use common::stub_listener::StubListener;
 
-/// How long the process is stopped: far longer than any attempt may begin after its client has disconnected.
+/// How long the process is stopped. An attempt may start only much sooner than this after its client has
+/// disconnected.
 const PAUSE: Duration = Duration::from_millis(400);
 
 /// When a client connects to a router that is about to be paused.
@@ -21,7 +22,8 @@
     DuringPause,
 }
 
-/// Pauses the process while a client sends a request and disconnects; nothing of it may be forwarded afterwards.
+/// Pauses the process while a client sends a request and disconnects. The request must not be forwarded
+/// afterwards.
 fn disconnect_during_pause(id: &str, client_connects: ClientConnects) {
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
@@ -43,7 +45,7 @@
     assert_eq!(
         prefill_stub.count_unaccepted_requests() + decode_stub.count_unaccepted_requests(),
         0,
-        "sent after its client had disconnected"
+        "a request was forwarded after its client had disconnected"
     );
 }
 
@@ -73,7 +75,7 @@
         assert!(sent_at.elapsed() < Duration::from_millis(500), "{:?}", sent_at.elapsed());
     }
     router.process.terminate();
-    assert!(prefill_stub.has_no_unaccepted_connection(), "sent with no time left");
+    assert!(prefill_stub.has_no_unaccepted_connection(), "a request was forwarded without enough time left");
 }
 
 #[test]
@@ -82,7 +84,7 @@
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let _silent = StubListener::bind(&format!("{base}:8500"));
-    let text = std::fs::read_to_string(configuration(&base, &[])).expect("the file just written");
+    let text = std::fs::read_to_string(configuration(&base, &[])).expect("read configuration");
     let entries = [endpoint_entry(&base, "r1", "Ready"), endpoint_entry(&base, "w1", "Ready")];
     let known = format!("\"known\":{},\"settings\"", endpoint_list(41, true, &entries));
     let path = file(&base, "config.json", &text.replace("\"settings\"", &known));
@@ -99,6 +101,6 @@
     decode.send(STREAM_START);
     decode.send(STREAM_END);
     client.read_until("0\r\n\r\n");
-    assert!(started_at.elapsed() < PATIENCE / 10, "{:?} from the start to the answer", started_at.elapsed());
+    assert!(started_at.elapsed() < PATIENCE / 10, "{:?} from startup to the answer", started_at.elapsed());
     router.terminate();
 }
--- a/tests/shim/faults.c
+++ b/tests/shim/faults.c
@@ -10,7 +10,7 @@
  * CALL is one of accept, bind, connect, epoll, open, socket. Of the files, only those whose path contains config.json
  * fail to open; of the sockets, only those for IPv4 fail to be created.
  *
- * The state below is not synchronised between threads.
+ * The state below is not synchronized between threads.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -30,7 +30,7 @@
 
 enum fault { ACCEPT, BIND, CONNECT, EPOLL, OPEN, SOCKET, SHORT, CLOCK, FAULT_COUNT };
 
-/* The names of the faults in the control file, in the order of enum fault. */
+/* Names of the faults in the control file, in the order of enum fault. */
 static const char *const FAULT_NAMES[FAULT_COUNT] = {"accept", "bind",   "connect", "epoll",
                                                      "open",   "socket", "short",   "clock"};
 /* How long the contents of the control file are used before it is read again, in nanoseconds. */
@@ -76,7 +76,7 @@
     }
 }
 
-/* Reads the control file again if it is due. System calls are made directly, as open is replaced below. */
+/* Reads the control file again if the interval is over. System calls are made directly, as open is replaced below. */
 static void refresh_faults(void) {
     long long now = monotonic_ns();
     if (last_read_ns != 0 && now - last_read_ns < REREAD_INTERVAL_NS)
@@ -97,7 +97,7 @@
     parse_faults(text);
 }
 
-/* Decides at random, by the percentage of the fault, whether it hits this call. */
+/* Decides at random whether the fault applies to this call, with the probability given by its percentage. */
 static int is_injected(enum fault fault) {
     refresh_faults();
     if (amounts[fault] <= 0)
@@ -108,7 +108,7 @@
     return (long)((random_state >> 33) % 100) < amounts[fault];
 }
 
-/* Whether this call is to fail; errno is then set. */
+/* Returns whether this call fails, and sets errno if it does. */
 static int fails(enum fault fault) {
     if (!is_injected(fault))
         return 0;
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -1,4 +1,4 @@
-//! Requests, answers and closes that cross a shutdown of the router.
+//! Requests, responses and connection closes that race with a shutdown of the router.
 
 mod common;
 
@@ -22,8 +22,9 @@
 
     router.process.signal("TERM");
     router.process.wait_for_log("shutdown started");
-    assert_eq!(idle.read_to_end(), "", "an idle connection ends without an answer");
-    // It crosses the close: it is not read, so its client may safely retry it elsewhere.
+    assert_eq!(idle.read_to_end(), "", "data on an idle connection that must close without a response");
+    // The request races with the close and must stay unread, so that its client can safely retry it
+    // elsewhere.
     idle.send_ignoring_close(&request("late", "climb-query", 6_000));
     stream.send(STREAM_END);
     streaming.read_until("data: [DONE]\n\n");
@@ -58,7 +59,8 @@
     let mut late = router.client();
     router.process.signal("TERM");
     router.process.wait_for_log("shutdown started");
-    // A request over 0.7 s after the signal may still be in progress when the process is killed.
+    // The process may be killed from 0.7 s after the signal on, so a request that arrives later might never
+    // be answered.
     std::thread::sleep(Duration::from_millis(800));
     late.send(&request("o2", "climb-query", 6_000));
     let answer = late.read_message();
@@ -81,7 +83,7 @@
     let text = request("h1", "climb-query", 6_000);
     let (first, second) = text.split_at(40);
     slow.send(first);
-    // Sent after it, so the partial head has been read when this is answered.
+    // Sent after the partial head, so the head has been read once this request is answered.
     let mut other = router.client();
     other.send(READINESS_REQUEST);
     other.read_message();
@@ -108,11 +110,12 @@
     stream.send(STREAM_END);
     last.read_until("0\r\n\r\n");
     assert_eq!(last.read_to_end(), "");
-    // Bytes that cross the close are read and not answered by a reset for as long as the client has not closed.
+    // Bytes that race with the close must be read and not answered with a reset until the client closes the
+    // connection.
     for _ in 0..100 {
         last.send("G");
         std::thread::sleep(Duration::from_millis(2));
-        assert!(router.process.is_running(), "it ended while a client could still send");
+        assert!(router.process.is_running(), "the process exited while a client connection was still open");
     }
     last.close();
     router.process.wait_for_exit(ExpectedExit::Success);
@@ -137,7 +140,7 @@
         std::thread::sleep(Duration::from_millis(2));
     }
     std::thread::sleep(Duration::from_millis(200));
-    assert_eq!(last.unread_by_peer(), crossing.len(), "its request was read after the close");
+    assert_eq!(last.unread_by_peer(), crossing.len(), "the request was read after the close");
     last.close();
     router.process.wait_for_exit(ExpectedExit::Success);
 }
@@ -147,7 +150,7 @@
     let mut router = StubbedRouter::start(&[]);
     let text = request("m1", "climb-query", 6_000);
     let (head, body) = text.split_at(text.len() - 5);
-    // On a new and on an idle connection, within the head and within the body.
+    // On new and on reused connections, within the head and within the body.
     let mut stopped = Vec::new();
     for reused in [false, true] {
         for part in [&text[..60], head] {
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,4 +1,5 @@
-//! System calls that fail for a moment, transfer less than wanted or are interrupted, and a wall clock that is off.
+//! System calls that fail temporarily, transfer fewer bytes than requested or are interrupted, and a wall
+//! clock that is wrong.
 
 mod common;
 
@@ -11,10 +12,11 @@
 use common::router_process::{ExpectedExit, RouterProcess, start_router_with_variables};
 use common::stub_listener::StubListener;
 
-/// Longer than it takes to use up all attempts of a request, or of a start, one right after another.
+/// Longer than a request, or a start, needs to use up all its attempts without delays between them.
 const FAULT_DURATION: Duration = Duration::from_millis(1_500);
 
-/// Plays a request to the end of its answer at endpoint stubs that have not been connected to yet.
+/// Answers the prefill and decode attempts of a request at stubs without open connections, and reads the
+/// response.
 fn answer_request(
     prefill_stub: &StubListener, decode_stub: &StubListener, id: &str, client: &mut Connection,
 ) -> [Connection; 2] {
@@ -46,7 +48,7 @@
     router.process.terminate();
 }
 
-/// Starts the router while a system call of its start fails.
+/// Starts the router while a system call needed for startup fails.
 fn start_with_fault(base: &str, fault: String) -> (RouterProcess, Faults) {
     let faults = Faults::new(base, &[fault]);
     let path = configuration(base, &[]);
@@ -55,11 +57,11 @@
     (router, faults)
 }
 
-/// Lets a system call of the start fail for a moment; the start must go on when it works again.
+/// Injects a temporary failure of a system call during startup, and checks that startup then completes.
 fn assert_start_survives(fault: String) {
     let (mut router, faults) = start_with_fault(&address(), fault);
     std::thread::sleep(FAULT_DURATION);
-    assert!(router.is_running(), "it ended");
+    assert!(router.is_running(), "the router exited");
     faults.set(&[]);
     router.wait_for_log("listening api=\"platform\"");
     router.terminate();
@@ -97,24 +99,25 @@
     for id in ["f1", "f2", "f3"] {
         let mut client = connect_client(&base);
         client.send(&request(id, "climb-query", 6_000));
-        // The stubs' connections end here: one that stayed open might be reused, and nobody would answer there.
+        // The stub connections are dropped, as an open one might be reused for the next request, which the
+        // stubs do not expect.
         drop(answer_request(&prefill_stub, &decode_stub, id, &mut client));
     }
     router.process.terminate();
 }
 
-/// The present Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 fn unix_ms() -> i64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    i64::try_from(since.as_millis()).expect("not far after 1970")
+    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("clock after 1970");
+    i64::try_from(since.as_millis()).expect("Unix time fits in 64 bits")
 }
 
-/// The entry of a prefill endpoint that started at this time.
+/// Returns the list entry of a prefill endpoint that started at this time.
 fn entry_started_at(base: &str, unix_ms: i64) -> String {
     endpoint_entry(base, "r1", "Ready").replace("\"started_ms\":0", &format!("\"started_ms\":{unix_ms}"))
 }
 
-/// Settings by which a cold endpoint takes next to nothing, and is warm after `milliseconds`.
+/// Settings with which a cold endpoint receives almost no requests, and is warm after `milliseconds`.
 fn slow_start_settings(milliseconds: u32) -> [(&'static str, String); 2] {
     [
         ("\"fallMultiple\": 3.0", "\"fallMultiple\": 0.001".to_owned()),
@@ -154,5 +157,5 @@
     client.send(&request("t2", "climb-query", 500));
     assert!(client.read_message().head.starts_with("HTTP/1.1 429"));
     router.process.terminate();
-    assert!(prefill_stub.has_no_unaccepted_connection(), "a cold endpoint was sent to");
+    assert!(prefill_stub.has_no_unaccepted_connection(), "a request was sent to a cold endpoint");
 }
--- a/tests/watch_races.rs
+++ b/tests/watch_races.rs
@@ -1,4 +1,4 @@
-//! Watches on the endpoint list that break, fall silent or move to another discovery.
+//! Watches on the endpoint list that are reset, stop sending, or move to another discovery service.
 
 mod common;
 
@@ -19,17 +19,17 @@
     let draining = endpoint_list(7, false, &[endpoint_entry(&base, "w1", "Terminating")]);
     router.watch.send(&(draining + "\n"));
     router.process.wait_for_log("endpoint=w1 state=Terminating");
-    // Half a line, and then a close.
+    // An incomplete line followed by a close.
     router.watch.send("{\"version\":8,\"fu");
     router.watch.connection.close();
     let mut silent = router.discovery.open_watch();
     assert_eq!(silent.since, "7");
-    // From here on it stays open and silent; the router has to open its successor by itself.
+    // This watch stays open without sending anything, so the router has to replace it.
     let mut next = router.discovery.open_watch();
     assert_eq!(next.since, "7");
     next.send(&(endpoint_list(8, false, &[endpoint_entry(&base, "r1", "Terminating")]) + "\n"));
     router.process.wait_for_log("endpoint=r1 state=Terminating");
-    assert_eq!(silent.connection.read_to_end_or_reset(), "", "the silent watch was left open");
+    assert_eq!(silent.connection.read_to_end_or_reset(), "", "the silent watch was not closed");
     router.process.terminate();
 }
 
@@ -41,7 +41,7 @@
     let last_line_at = Instant::now();
     let mut silent = router.discovery.open_watch();
     let mut next = router.discovery.accept_watch();
-    // A change that the first one missed counts as reported 6 s after it fell silent.
+    // A change missed by the first watch must be known within 6 s of its last data.
     let elapsed = last_line_at.elapsed();
     assert!(elapsed < Duration::from_millis(5_700), "{elapsed:?}");
     silent.connection.send_ignoring_close("");
@@ -88,7 +88,7 @@
     ]);
     let _watch = moved.open_watch();
     router.process.wait_for_log("discovery moved address=");
-    // What the old discovery still reports is ignored: its connection is closed.
+    // Data from the previous discovery service is ignored, as the connection to it has been closed.
     router.watch.connection.send_ignoring_close("1\r\n\n\r\n");
     assert_eq!(router.watch.connection.read_to_end_or_reset(), "");
     let mut client = connect_client(&base);
