--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -33,7 +33,7 @@
     List(#[from] ListError),
     /// No data arrived before the timeout.
     #[error("no data before the timeout")]
-    Silent,
+    TimedOut,
     /// Discovery ended the response.
     #[error("response ended")]
     Ended,
@@ -62,16 +62,18 @@
 }
 
 /// Returns the next chunk of a body, or `None` at its end.
-pub(super) async fn next_chunk(body: &mut Incoming, within: Duration) -> Result<Option<Bytes>, WatchError> {
-    match timeout(within, body.frame()).await {
-        Err(_) => Err(WatchError::Silent),
+pub(super) async fn next_chunk(
+    body: &mut Incoming, time_limit: Duration,
+) -> Result<Option<Bytes>, WatchError> {
+    match timeout(time_limit, body.frame()).await {
+        Err(_) => Err(WatchError::TimedOut),
         Ok(None) => Ok(None),
         Ok(Some(frame)) => Ok(Some(frame?.into_data().unwrap_or_default())),
     }
 }
 
 /// Sends a request on a new connection and returns the response body.
-async fn get(address: SocketAddr, path: &str, within: Duration) -> Result<Incoming, WatchError> {
+async fn get(address: SocketAddr, path: &str, time_limit: Duration) -> Result<Incoming, WatchError> {
     let exchange = async {
         let socket = TcpStream::connect(address).await.map_err(WatchError::Connect)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(socket)).await?;
@@ -85,5 +87,5 @@
             other => Err(WatchError::Status(other)),
         }
     };
-    timeout(within, exchange).await.unwrap_or(Err(WatchError::Silent))
+    timeout(time_limit, exchange).await.unwrap_or(Err(WatchError::TimedOut))
 }
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -27,7 +27,7 @@
     version: Option<u64>,
     /// Last time at which all changes published by discovery had been applied, or `None` before the first
     /// list from discovery.
-    last_event_at: Option<Instant>,
+    last_synced_at: Option<Instant>,
 }
 
 impl EndpointDirectory {
@@ -40,7 +40,7 @@
             ids: EndpointIds::default(),
             start_times: StartTimes::new(clock),
             version: None,
-            last_event_at: None,
+            last_synced_at: None,
         }
     }
 
@@ -76,13 +76,13 @@
 
     /// Clears the version so that the next watch starts with a snapshot. A different discovery service may
     /// not continue the version sequence of the previous one.
-    pub(super) fn forget_version(&mut self) {
+    pub(super) fn clear_version(&mut self) {
         self.version = None;
     }
 
     /// Records that all changes published by discovery up to this time have been applied.
-    pub(super) fn mark_current(&mut self, at: Instant) {
-        self.last_event_at = Some(at);
+    pub(super) fn mark_synced(&mut self, at: Instant) {
+        self.last_synced_at = Some(at);
     }
 
     /// Returns the routing context that lists are applied to.
@@ -148,8 +148,8 @@
     }
 
     fn started_at(&mut self, endpoint: EndpointId, unix_ms: i64) -> Option<Micros> {
-        let since_last_event = self.last_event_at.map(|at| at.elapsed());
-        self.start_times.resolve(endpoint, unix_ms, since_last_event)
+        let since_last_sync = self.last_synced_at.map(|at| at.elapsed());
+        self.start_times.resolve(endpoint, unix_ms, since_last_sync)
     }
 
     /// Removes all endpoints that do not satisfy `is_known`.
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -89,7 +89,7 @@
 #[derive(Debug, Default)]
 pub struct ListReader {
     /// Bytes of the incomplete list received so far.
-    text: Vec<u8>,
+    buffer: Vec<u8>,
     /// Current nesting depth of braces and brackets.
     depth: usize,
     /// Whether the next byte is inside a JSON string.
@@ -115,12 +115,12 @@
                     other => return Err(ListError::UnexpectedByte(other)),
                 }
             }
-            self.text.push(byte);
+            self.buffer.push(byte);
             self.scan(byte);
             if self.depth == 0 {
-                lists.push(serde_json::from_slice(&self.text)?);
-                self.text.clear();
-            } else if self.text.len() > MAX_LIST_BYTES {
+                lists.push(serde_json::from_slice(&self.buffer)?);
+                self.buffer.clear();
+            } else if self.buffer.len() > MAX_LIST_BYTES {
                 return Err(ListError::TooLong);
             }
         }
--- a/src/discovery/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -16,7 +16,7 @@
 const MAX_CLOCK_OFFSET: Micros = 2 * 3_600 * 1_000_000;
 /// Number of cached start times above which those of unlisted endpoints are dropped. They are not dropped at
 /// once because an endpoint may be listed again with the same start time.
-const MAX_REMEMBERED: usize = 1_024;
+const MAX_CACHED_START_TIMES: usize = 1_024;
 
 /// A reported start time and the time it was resolved to.
 #[derive(Clone, Copy, Debug)]
@@ -41,10 +41,10 @@
     }
 
     /// Returns when an endpoint started on the scheduler's clock, or `None` if that was long ago. `unix_ms`
-    /// is the reported Unix time in milliseconds, or 0 if that was long ago. `since_last_event` is the time
+    /// is the reported Unix time in milliseconds, or 0 if that was long ago. `since_last_sync` is the time
     /// since the list was last known to be current, or `None` if it never was.
     pub fn resolve(
-        &mut self, endpoint: EndpointId, unix_ms: i64, since_last_event: Option<Duration>,
+        &mut self, endpoint: EndpointId, unix_ms: i64, since_last_sync: Option<Duration>,
     ) -> Option<Micros> {
         if unix_ms <= 0 {
             return None;
@@ -58,10 +58,10 @@
         let reported = unix_ms.saturating_mul(1_000).saturating_add(self.correction);
         // Earlier starts would already have been reported.
         let earliest =
-            since_last_event.map(|elapsed| now - (elapsed + MAX_REPORT_DELAY).as_micros() as Micros);
+            since_last_sync.map(|elapsed| now - (elapsed + MAX_REPORT_DELAY).as_micros() as Micros);
         let is_possible = reported <= now && earliest.is_none_or(|earliest| reported >= earliest);
         if !is_possible {
-            self.correct(endpoint, now.saturating_sub(reported));
+            self.adjust_correction(endpoint, now.saturating_sub(reported));
         }
         let at = if is_possible { reported } else { now };
         self.resolved.insert(endpoint, ResolvedStart { unix_ms, at });
@@ -69,7 +69,7 @@
     }
 
     /// Adjusts the correction by this offset, unless it exceeds [`MAX_CLOCK_OFFSET`].
-    fn correct(&mut self, endpoint: EndpointId, offset: Micros) {
+    fn adjust_correction(&mut self, endpoint: EndpointId, offset: Micros) {
         let corrects_clock = offset.saturating_abs() <= MAX_CLOCK_OFFSET;
         tracing::warn!(
             endpoint = endpoint.0,
@@ -84,7 +84,7 @@
 
     /// Drops the start times of unlisted endpoints if too many are cached.
     pub fn retain(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
-        if self.resolved.len() > MAX_REMEMBERED {
+        if self.resolved.len() > MAX_CACHED_START_TIMES {
             self.resolved.retain(|endpoint, _| is_listed(*endpoint));
         }
     }
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -45,14 +45,14 @@
     /// Maximum silence on an open watch.
     watch_timeout: Duration,
     /// Becomes true once discovery has answered with its current state.
-    notified: watch::Sender<bool>,
+    discovery_answered: watch::Sender<bool>,
 }
 
 impl EndpointWatch {
     /// Creates a watch that applies lists to `directory`. It is opened by [`run`](Self::run). Each replica
     /// needs its own `seed`.
     pub fn new(
-        directory: EndpointDirectory, settings: &Settings, seed: u64, notified: watch::Sender<bool>,
+        directory: EndpointDirectory, settings: &Settings, seed: u64, discovery_answered: watch::Sender<bool>,
     ) -> Self {
         if settings.watch_endpoint_list {
             EndpointWatch {
@@ -60,7 +60,7 @@
                 backoff: Backoff::new(settings.replicas, seed),
                 response_timeout: RESPONSE_TIMEOUT,
                 watch_timeout: WATCH_TIMEOUT,
-                notified,
+                discovery_answered,
             }
         } else {
             // In push mode, discovery is an agent that serves only this replica, so no other replica competes
@@ -70,7 +70,7 @@
                 backoff: Backoff::new(1, seed),
                 response_timeout: AGENT_RESPONSE_TIMEOUT,
                 watch_timeout: AGENT_WATCH_TIMEOUT,
-                notified,
+                discovery_answered,
             }
         }
     }
@@ -87,7 +87,7 @@
         loop {
             if address.has_changed().unwrap_or(false) {
                 tracing::info!(address = %*address.borrow(), "discovery moved");
-                self.directory.forget_version();
+                self.directory.clear_version();
             }
             let current = *address.borrow_and_update();
             let retry_at;
@@ -134,7 +134,7 @@
             None => {
                 let snapshot = fetch_snapshot(address, self.response_timeout).await?;
                 self.directory.apply(&snapshot);
-                self.mark_current(Instant::now());
+                self.mark_synced(Instant::now());
                 snapshot.version
             }
         };
@@ -150,8 +150,8 @@
             let chunk = match next_chunk(&mut body, self.watch_timeout).await {
                 Ok(Some(chunk)) => chunk,
                 Ok(None) => return LostWatch { error: WatchError::Ended, since: Instant::now() },
-                Err(WatchError::Silent) => {
-                    return LostWatch { error: WatchError::Silent, since: last_chunk_at };
+                Err(WatchError::TimedOut) => {
+                    return LostWatch { error: WatchError::TimedOut, since: last_chunk_at };
                 }
                 Err(error) => return LostWatch { error, since: Instant::now() },
             };
@@ -166,14 +166,14 @@
             }
             // While a list is incomplete, later changes may still be unknown.
             if reader.between_lists() {
-                self.mark_current(last_chunk_at);
+                self.mark_synced(last_chunk_at);
             }
         }
     }
 
     /// Records that all changes published by discovery up to this time have been applied.
-    fn mark_current(&mut self, at: Instant) {
-        self.directory.mark_current(at);
-        self.notified.send_replace(true);
+    fn mark_synced(&mut self, at: Instant) {
+        self.directory.mark_synced(at);
+        self.discovery_answered.send_replace(true);
     }
 }
