--- a/src/config/chat.rs
+++ b/src/config/chat.rs
@@ -39,7 +39,7 @@
     /// Limits of the connection pool to the endpoints.
     pub pool: PoolLimits,
     /// Maximum number of concurrent client connections.
-    pub max_clients: usize,
+    pub max_client_connections: usize,
     /// Maximum total size of buffered request bodies, in bytes.
     pub max_body_bytes: usize,
     /// TLS settings, if clients must authenticate with a certificate.
@@ -147,7 +147,7 @@
 
     fn parse(text: &str) -> Result<Self, ChatConfigError> {
         let file: ChatFile = toml::from_str(text)?;
-        file.check()?;
+        file.validate()?;
         let classes = file.classes.iter().map(ChatClass::request_class).collect::<Result<Vec<_>, _>>()?;
         let models = file.class_by_model()?;
         let endpoint_headers = file.header_map()?;
@@ -164,7 +164,7 @@
                 file.idle_close_ms,
                 file.endpoint_connections.clamp(1, MAX_CONNECTIONS),
             ),
-            max_clients: file.client_connections.clamp(1, MAX_CONNECTIONS),
+            max_client_connections: file.client_connections.clamp(1, MAX_CONNECTIONS),
             max_body_bytes: MAX_BODY_BYTES,
             tls: file.tls,
         })
@@ -179,7 +179,7 @@
 
 impl ChatFile {
     /// Validates what deserialization alone does not check.
-    fn check(&self) -> Result<(), ChatConfigError> {
+    fn validate(&self) -> Result<(), ChatConfigError> {
         if self.endpoints.is_empty() {
             return Err(ChatConfigError::NoEndpoints);
         }
@@ -225,7 +225,7 @@
             capabilities: Capabilities {
                 cancellation: true,
                 max_attempts: self.max_attempts,
-                max_retry_after: Some(micros(self.retry_after_ms, || "retry_after_ms".to_owned())?),
+                max_retry_after: Some(duration_micros(self.retry_after_ms, || "retry_after_ms".to_owned())?),
                 ..Capabilities::default()
             },
             ..Settings::default()
@@ -235,8 +235,9 @@
 
 impl ChatClass {
     fn request_class(&self) -> Result<RequestClass, ChatConfigError> {
-        let duration =
-            |milliseconds: f64, key: &str| micros(milliseconds, || format!("class \"{}\": {key}", self.name));
+        let duration = |milliseconds: f64, key: &str| {
+            duration_micros(milliseconds, || format!("class \"{}\": {key}", self.name))
+        };
         Ok(RequestClass {
             first_token_objective: duration(self.first_token_ms, "first_token_ms")?,
             objective_per_1000_prompt_tokens: duration(
@@ -256,7 +257,7 @@
 }
 
 /// Converts a duration from the file to microseconds. `setting` names the setting in the error message.
-fn micros(milliseconds: f64, setting: impl FnOnce() -> String) -> Result<Micros, ChatConfigError> {
+fn duration_micros(milliseconds: f64, setting: impl FnOnce() -> String) -> Result<Micros, ChatConfigError> {
     if !(0.0..=MAX_DURATION_MS).contains(&milliseconds) {
         return Err(ChatConfigError::DurationOutOfRange { setting: setting(), milliseconds });
     }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -9,7 +9,7 @@
 
 use crate::config::error::{ConfigError, PlatformConfigError};
 use crate::config::pool::{default_connect_timeout_ms, default_idle_close_ms, pool_limits};
-use crate::config::settings::{NamedSettings, SettingNames, settings_from};
+use crate::config::settings::{NamedSettings, SettingNames, parse_settings};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::scheduler::Settings;
 use crate::upstream::connection_pool::PoolLimits;
@@ -47,7 +47,7 @@
     /// Limits of the connection pool to the endpoints.
     pub pool: PoolLimits,
     /// Maximum number of concurrent client connections.
-    pub max_clients: usize,
+    pub max_client_connections: usize,
     /// Maximum total size of buffered request bodies, in bytes.
     pub max_body_bytes: usize,
 }
@@ -110,15 +110,15 @@
     /// of them are taken from the client connections and half from the endpoint connections.
     pub fn reserve_sockets(&mut self, sockets: usize) {
         let half = sockets.div_ceil(2);
-        self.max_clients = self.max_clients.saturating_sub(half).max(MIN_SHARE);
+        self.max_client_connections = self.max_client_connections.saturating_sub(half).max(MIN_SHARE);
         self.pool.max_connections = self.pool.max_connections.saturating_sub(half).max(MIN_SHARE);
     }
 
     fn parse(text: &[u8]) -> Result<Self, PlatformConfigError> {
         let file: File = serde_json::from_slice(text)?;
-        let connections =
+        let connection_limits =
             NodeSettings::deserialize(&file.settings).map_err(PlatformConfigError::ProcessSettings)?.limits;
-        let NamedSettings { settings, names } = settings_from(file.settings)
+        let NamedSettings { settings, names } = parse_settings(file.settings)
             .map_err(|error| PlatformConfigError::SchedulerSettings(error.into()))?;
         let seed = parse_seed(&file.seed)?;
         let sockets = file.limits.sockets.min(MAX_SOCKETS);
@@ -132,12 +132,12 @@
             settings,
             names,
             pool: pool_limits(
-                connections.connect_timeout_ms,
-                connections.idle_close_ms,
-                share(sockets, ENDPOINT_SOCKETS_PERCENT),
+                connection_limits.connect_timeout_ms,
+                connection_limits.idle_close_ms,
+                share_of(sockets, ENDPOINT_SOCKETS_PERCENT),
             ),
-            max_clients: share(sockets, CLIENT_SOCKETS_PERCENT),
-            max_body_bytes: share(memory_bytes, BODY_MEMORY_PERCENT),
+            max_client_connections: share_of(sockets, CLIENT_SOCKETS_PERCENT),
+            max_body_bytes: share_of(memory_bytes, BODY_MEMORY_PERCENT),
         })
     }
 }
@@ -148,6 +148,6 @@
 }
 
 /// Returns a percentage of a resource limit, but at least [`MIN_SHARE`].
-fn share(limit: usize, percent: usize) -> usize {
+fn share_of(limit: usize, percent: usize) -> usize {
     (limit * percent / 100).max(MIN_SHARE)
 }
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -24,17 +24,17 @@
 /// # Errors
 ///
 /// Returns an error if the handler cannot be registered.
-pub fn hangups() -> io::Result<Signal> {
+pub fn listen_for_sighup() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
 /// Reloads the platform configuration on every SIGHUP and publishes the discovery address. If the file is
 /// unusable, the current configuration stays in effect.
-pub async fn reload_on_hangup(
-    mut hangups: Signal, path: PathBuf, discovery: watch::Sender<SocketAddr>, counters: Rc<Counters>,
+pub async fn reload_on_sighup(
+    mut sighup: Signal, path: PathBuf, discovery: watch::Sender<SocketAddr>, counters: Rc<Counters>,
 ) {
-    while hangups.recv().await.is_some() {
-        match read_replaced(&path).await {
+    while sighup.recv().await.is_some() {
+        match read_with_retries(&path).await {
             Ok(config) => {
                 counters.reloads.increment();
                 tracing::info!(
@@ -52,18 +52,18 @@
 }
 
 /// Logs every SIGHUP. Without the platform API there is no configuration to reload.
-pub async fn ignore_hangups(mut hangups: Signal) {
-    while hangups.recv().await.is_some() {
+pub async fn ignore_sighup(mut sighup: Signal) {
+    while sighup.recv().await.is_some() {
         tracing::warn!("SIGHUP ignored: the chat API reads its configuration only at startup");
     }
 }
 
 /// Reads the configuration, retrying while the file is incomplete or cannot be opened.
-async fn read_replaced(path: &Path) -> Result<PlatformConfig, ConfigError> {
-    let give_up_at = Instant::now() + RELOAD_TIMEOUT;
+async fn read_with_retries(path: &Path) -> Result<PlatformConfig, ConfigError> {
+    let deadline = Instant::now() + RELOAD_TIMEOUT;
     loop {
         match PlatformConfig::read(path) {
-            Err(error) if Instant::now() < give_up_at => {
+            Err(error) if Instant::now() < deadline => {
                 let retry_in_ms = RELOAD_RETRY_DELAY.as_millis();
                 tracing::warn!(%error, retry_in_ms, "configuration not readable yet");
                 sleep(RELOAD_RETRY_DELAY).await;
@@ -75,8 +75,8 @@
 
 fn publish_if_changed(discovery: &watch::Sender<SocketAddr>, address: SocketAddr) {
     discovery.send_if_modified(|current| {
-        let is_new = *current != address;
+        let changed = *current != address;
         *current = address;
-        is_new
+        changed
     });
 }
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -30,23 +30,23 @@
 
 impl SettingNames {
     pub(crate) fn zone_id(&self, name: &str) -> Result<ZoneId, UnknownName> {
-        position(&self.zones, "zone", name).map(ZoneId)
+        index_of(&self.zones, "zone", name).map(ZoneId)
     }
 
     pub(crate) fn kind_id(&self, name: &str) -> Result<KindId, UnknownName> {
-        position(&self.kinds, "kind", name).map(KindId)
+        index_of(&self.kinds, "kind", name).map(KindId)
     }
 
     pub(crate) fn class_id(&self, name: &str) -> Result<ClassId, UnknownName> {
-        position(&self.classes, "class", name).map(ClassId)
+        index_of(&self.classes, "class", name).map(ClassId)
     }
 
     pub(crate) fn tenant_id(&self, name: &str) -> Result<TenantId, UnknownName> {
-        position(&self.tenants, "tenant", name).map(TenantId)
+        index_of(&self.tenants, "tenant", name).map(TenantId)
     }
 }
 
-fn position(names: &[String], category: &'static str, name: &str) -> Result<usize, UnknownName> {
+fn index_of(names: &[String], category: &'static str, name: &str) -> Result<usize, UnknownName> {
     names
         .iter()
         .position(|known| known == name)
@@ -67,12 +67,12 @@
 /// # Errors
 ///
 /// Returns an error if a key is missing, a value has the wrong type, or values contradict each other.
-pub fn settings_from(options: Value) -> Result<NamedSettings, SettingsError> {
+pub fn parse_settings(options: Value) -> Result<NamedSettings, SettingsError> {
     let options: Options = serde_json::from_value(options)?;
     settings_from_options(&options)
 }
 
-/// Like [`settings_from`], for an object that is already deserialized.
+/// Like [`parse_settings`], for an object that is already deserialized.
 pub(crate) fn settings_from_options(options: &Options) -> Result<NamedSettings, SettingsError> {
     let kinds = endpoint_kinds(&options.kinds, &options.family)?;
     if options.replicas == 0 {
@@ -132,7 +132,7 @@
 }
 
 fn request_class(class: &Lane, index: usize, family: &FamilyInfo) -> Result<RequestClass, SettingsError> {
-    let entry_of_class = |entries: &[f64], key: &'static str| {
+    let class_entry = |entries: &[f64], key: &'static str| {
         entries
             .get(index)
             .copied()
@@ -140,8 +140,8 @@
     };
     let idempotency = idempotency(class)?;
     let objective_per_1000_prompt_tokens_us =
-        entry_of_class(&family.objectives_per_1000_prompt_tokens_us, "aimUsPer1000PromptTokens")?;
-    let inter_token_objective_ms = entry_of_class(&family.inter_token_objectives_ms, "tokenAim")?;
+        class_entry(&family.objectives_per_1000_prompt_tokens_us, "aimUsPer1000PromptTokens")?;
+    let inter_token_objective_ms = class_entry(&family.inter_token_objectives_ms, "tokenAim")?;
     Ok(RequestClass {
         first_token_objective: micros_from_millis(class.first_token_objective_ms),
         objective_per_1000_prompt_tokens: objective_per_1000_prompt_tokens_us as Micros,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -163,16 +163,16 @@
     /// Periodically logs the counter increases since the previous log line. Intervals without any are
     /// skipped.
     pub async fn log_periodically(self: Rc<Self>, api: &'static str) {
-        let mut logged = self.all();
+        let mut previous = self.all();
         loop {
             sleep(LOG_INTERVAL).await;
             let current = self.all();
-            let growth = growth(&logged, &current);
-            if !growth.is_empty() {
-                let counters = serde_json::to_string(&growth).unwrap_or_default();
+            let increases = increases(&previous, &current);
+            if !increases.is_empty() {
+                let counters = serde_json::to_string(&increases).unwrap_or_default();
                 tracing::info!(api, interval_s = LOG_INTERVAL.as_secs(), %counters, "counters");
             }
-            logged = current;
+            previous = current;
         }
     }
 
@@ -183,7 +183,7 @@
 }
 
 /// Returns the increase of each counter, omitting counters that did not change.
-fn growth(
+fn increases(
     earlier: &BTreeMap<&'static str, u64>, later: &BTreeMap<&'static str, u64>,
 ) -> BTreeMap<&'static str, u64> {
     later
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -30,7 +30,7 @@
     /// # Errors
     ///
     /// Returns an error if a handler cannot be registered.
-    pub fn listen() -> io::Result<Self> {
+    pub fn register() -> io::Result<Self> {
         Ok(TerminationSignals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
@@ -38,7 +38,7 @@
     }
 
     /// Waits for one of the signals.
-    pub async fn received(&mut self) {
+    pub async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
@@ -53,31 +53,31 @@
     started_at: watch::Sender<Option<Instant>>,
     /// Whether the listeners have stopped accepting connections.
     listeners_closed: watch::Sender<bool>,
-    unfinished: Rc<Unfinished>,
+    open_guards: Rc<OpenGuards>,
 }
 
 /// Tracks work that must finish before the process exits.
 #[derive(Default)]
-struct Unfinished {
-    guards: Cell<usize>,
-    none_left: Notify,
+struct OpenGuards {
+    count: Cell<usize>,
+    all_dropped: Notify,
 }
 
 /// Delays the exit of the process until it is dropped.
-pub struct ShutdownGuard(Rc<Unfinished>);
+pub struct ShutdownGuard(Rc<OpenGuards>);
 
 impl ShutdownGuard {
-    fn new(unfinished: &Rc<Unfinished>) -> Self {
-        unfinished.guards.set(unfinished.guards.get() + 1);
-        ShutdownGuard(unfinished.clone())
+    fn new(open_guards: &Rc<OpenGuards>) -> Self {
+        open_guards.count.set(open_guards.count.get() + 1);
+        ShutdownGuard(open_guards.clone())
     }
 }
 
 impl Drop for ShutdownGuard {
     fn drop(&mut self) {
-        self.0.guards.set(self.0.guards.get() - 1);
-        if self.0.guards.get() == 0 {
-            self.0.none_left.notify_waiters();
+        self.0.count.set(self.0.count.get() - 1);
+        if self.0.count.get() == 0 {
+            self.0.all_dropped.notify_waiters();
         }
     }
 }
@@ -87,7 +87,7 @@
         Shutdown {
             started_at: watch::Sender::new(None),
             listeners_closed: watch::Sender::new(false),
-            unfinished: Rc::default(),
+            open_guards: Rc::default(),
         }
     }
 }
@@ -115,29 +115,29 @@
 
     /// Returns a guard that delays the exit of the process until it is dropped.
     pub fn guard(&self) -> ShutdownGuard {
-        ShutdownGuard::new(&self.unfinished)
+        ShutdownGuard::new(&self.open_guards)
     }
 
     /// Waits for a termination signal, the grace period for connections, and then for all guards to be
     /// dropped.
     pub async fn run(&self, mut signals: TerminationSignals) {
-        signals.received().await;
-        tracing::info!(open = self.unfinished.guards.get(), "shutdown started");
+        signals.recv().await;
+        tracing::info!(open = self.open_guards.count.get(), "shutdown started");
         self.started_at.send_replace(Some(Instant::now()));
         sleep(CONNECT_GRACE).await;
-        tracing::info!(open = self.unfinished.guards.get(), "shutdown closes the listeners");
+        tracing::info!(open = self.open_guards.count.get(), "shutdown closes the listeners");
         self.listeners_closed.send_replace(true);
-        self.wait_finished().await;
+        self.wait_for_guards().await;
     }
 
-    async fn wait_finished(&self) {
+    async fn wait_for_guards(&self) {
         loop {
             // Created before the check so that a guard dropped after the check still wakes this task.
-            let none_left = self.unfinished.none_left.notified();
-            if self.unfinished.guards.get() == 0 {
+            let all_dropped = self.open_guards.all_dropped.notified();
+            if self.open_guards.count.get() == 0 {
                 return;
             }
-            none_left.await;
+            all_dropped.await;
         }
     }
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -9,7 +9,7 @@
 
 use inference_router::clock::{Clock, duration_from_micros};
 use inference_router::config::error::single_line;
-use inference_router::config::reload::{hangups, ignore_hangups, reload_on_hangup};
+use inference_router::config::reload::{ignore_sighup, listen_for_sighup, reload_on_sighup};
 use inference_router::config::{ChatConfig, ConfigError, PlatformConfig, TlsSettings};
 use inference_router::discovery::directory::EndpointDirectory;
 use inference_router::discovery::watch::EndpointWatch;
@@ -56,7 +56,7 @@
     },
     /// Neither API is configured.
     #[error("nothing to do: set LB_CONFIG for the platform API or pass --chat FILE for the chat API")]
-    NothingToDo,
+    NoConfiguration,
     /// A listen address cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
@@ -79,19 +79,19 @@
 }
 
 /// The platform configuration and the path to reload it from.
-struct PlatformSource {
+struct LoadedPlatformConfig {
     config: PlatformConfig,
     path: PathBuf,
 }
 
 /// The chat configuration and the verifier of client identities, if clients must authenticate.
-struct ChatSource {
+struct LoadedChatConfig {
     config: ChatConfig,
     identities: Option<IdentityVerifier>,
 }
 
 /// State shared by the APIs of the process.
-struct Process {
+struct ProcessContext {
     clock: Clock,
     shutdown: Shutdown,
 }
@@ -106,12 +106,12 @@
 /// Starts the router and runs it until a graceful shutdown is complete.
 pub(crate) async fn run(paths: &ConfigPaths) -> Result<(), StartError> {
     let clock = Clock::start();
-    let hangup_signals = hangups()?;
-    let mut termination_signals = TerminationSignals::listen()?;
-    let process = Process { clock, shutdown: Shutdown::default() };
+    let sighup = listen_for_sighup()?;
+    let mut termination_signals = TerminationSignals::register()?;
+    let process = ProcessContext { clock, shutdown: Shutdown::default() };
     let apis = tokio::select! {
-        started = start(paths, &process, hangup_signals) => started?,
-        () = termination_signals.received() => {
+        started = start(paths, &process, sighup) => started?,
+        () = termination_signals.recv() => {
             tracing::info!("shutdown requested during startup");
             return Ok(());
         }
@@ -128,7 +128,7 @@
 
 /// Reads all configuration files, then starts the configured APIs.
 async fn start(
-    paths: &ConfigPaths, process: &Process, hangup_signals: Signal,
+    paths: &ConfigPaths, process: &ProcessContext, sighup: Signal,
 ) -> Result<Vec<RunningApi>, StartError> {
     let chat = match &paths.chat {
         Some(path) => Some(read_chat_config(path).await?),
@@ -139,29 +139,29 @@
         None => None,
     };
     if platform.is_none() && chat.is_none() {
-        return Err(StartError::NothingToDo);
+        return Err(StartError::NoConfiguration);
     }
     let mut apis = Vec::new();
     match platform {
-        Some(source) => apis.push(start_platform_api(source, process, hangup_signals).await?),
+        Some(loaded) => apis.push(start_platform_api(loaded, process, sighup).await?),
         None => {
-            spawn_local(ignore_hangups(hangup_signals));
+            spawn_local(ignore_sighup(sighup));
         }
     }
-    if let Some(source) = chat {
-        apis.push(start_chat_api(source, process).await?);
+    if let Some(loaded) = chat {
+        apis.push(start_chat_api(loaded, process).await?);
     }
     Ok(apis)
 }
 
 /// Reads the chat configuration and the TLS files that it references.
-async fn read_chat_config(path: &Path) -> Result<ChatSource, StartError> {
+async fn read_chat_config(path: &Path) -> Result<LoadedChatConfig, StartError> {
     let mut config = read_config(|| ChatConfig::read(path)).await?;
     let identities = match config.tls.take() {
         Some(tls) => Some(read_identities(tls, path)?),
         None => None,
     };
-    Ok(ChatSource { config, identities })
+    Ok(LoadedChatConfig { config, identities })
 }
 
 fn read_identities(tls: TlsSettings, config_path: &Path) -> Result<IdentityVerifier, StartError> {
@@ -171,29 +171,32 @@
 }
 
 /// Reads the platform configuration and reserves the sockets that the chat API needs.
-async fn read_platform_config(path: &Path, chat: Option<&ChatSource>) -> Result<PlatformSource, StartError> {
+async fn read_platform_config(
+    path: &Path, chat: Option<&LoadedChatConfig>,
+) -> Result<LoadedPlatformConfig, StartError> {
     let mut config = read_config(|| PlatformConfig::read(path)).await?;
-    let chat_sockets = chat.map_or(0, |chat| chat.config.max_clients + chat.config.pool.max_connections);
+    let chat_sockets =
+        chat.map_or(0, |chat| chat.config.max_client_connections + chat.config.pool.max_connections);
     config.reserve_sockets(chat_sockets);
-    Ok(PlatformSource { config, path: path.to_owned() })
+    Ok(LoadedPlatformConfig { config, path: path.to_owned() })
 }
 
 /// Starts the platform API: routing, configuration reloads, the discovery watch and finally the listener.
 async fn start_platform_api(
-    source: PlatformSource, process: &Process, hangup_signals: Signal,
+    loaded: LoadedPlatformConfig, process: &ProcessContext, sighup: Signal,
 ) -> Result<RunningApi, StartError> {
-    let PlatformSource { config, path } = source;
+    let LoadedPlatformConfig { config, path } = loaded;
     let counters = Rc::new(Counters::default());
     let pool = Rc::new(ConnectionPool::new(config.pool.clone(), counters.clone()));
     let reservation_limit = duration_from_micros(config.settings.rules.reservation_limit);
     let upstream = Upstream::new(pool, UpstreamProtocol::Platform, counters.clone(), reservation_limit);
     let routing = Routing::start(&config.settings, config.seed, process.clock, upstream, counters.clone());
     let (discovery_address, discovery_changes) = watch::channel(config.discovery);
-    spawn_local(reload_on_hangup(hangup_signals, path, discovery_address, counters.clone()));
+    spawn_local(reload_on_sighup(sighup, path, discovery_address, counters.clone()));
     let context = routing.spawn_fleet_tasks();
     let ready = start_discovery(&config, context.clone(), process.clock, discovery_changes);
 
-    let limiter = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
+    let limiter = ConnectionLimiter::new(config.max_client_connections, config.max_body_bytes);
     let max_retry_after = config.settings.capabilities.max_retry_after;
     let shutdown = process.shutdown.clone();
     let api =
@@ -212,9 +215,9 @@
     if let Some(list) = &config.known_endpoints {
         directory.apply(list);
     }
-    let (notified, discovery_answered) = watch::channel(false);
+    let (answered_sender, discovery_answered) = watch::channel(false);
     let (ready, is_ready) = watch::channel(false);
-    let endpoint_watch = EndpointWatch::new(directory, &config.settings, config.seed, notified);
+    let endpoint_watch = EndpointWatch::new(directory, &config.settings, config.seed, answered_sender);
     spawn_local(endpoint_watch.run(address));
     spawn_local(signal_ready(discovery_answered, config.known_endpoints.is_some(), ready));
     is_ready
@@ -226,17 +229,19 @@
     mut discovery_answered: watch::Receiver<bool>, has_known_endpoints: bool, ready: watch::Sender<bool>,
 ) {
     let answer = discovery_answered.wait_for(|answered| *answered);
-    let in_time = timeout(DISCOVERY_TIMEOUT, answer).await.is_ok();
-    if !in_time && !has_known_endpoints {
+    let answered_in_time = timeout(DISCOVERY_TIMEOUT, answer).await.is_ok();
+    if !answered_in_time && !has_known_endpoints {
         let _ = discovery_answered.wait_for(|answered| *answered).await;
     }
-    tracing::info!(endpoint_list = if in_time { "discovery" } else { "configuration" }, "ready");
+    tracing::info!(endpoint_list = if answered_in_time { "discovery" } else { "configuration" }, "ready");
     ready.send_replace(true);
 }
 
 /// Starts the chat API: routing, the fixed endpoints and finally the listener.
-async fn start_chat_api(source: ChatSource, process: &Process) -> Result<RunningApi, StartError> {
-    let ChatSource { mut config, identities } = source;
+async fn start_chat_api(
+    loaded: LoadedChatConfig, process: &ProcessContext,
+) -> Result<RunningApi, StartError> {
+    let LoadedChatConfig { mut config, identities } = loaded;
     let seed = process.clock.now() as u64 ^ (u64::from(std::process::id()) << 48);
     let counters = Rc::new(Counters::default());
     let pool = Rc::new(ConnectionPool::new(config.pool.clone(), counters.clone()));
@@ -246,7 +251,7 @@
         Routing::start(&config.settings, seed, process.clock, upstream, counters.clone()).spawn_fleet_tasks();
     add_fixed_endpoints(&config, &context);
 
-    let limiter = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
+    let limiter = ConnectionLimiter::new(config.max_client_connections, config.max_body_bytes);
     let address = config.listen;
     let shutdown = process.shutdown.clone();
     let api = ChatApi::new(context, Rc::new(config), limiter.clone(), shutdown.clone(), seed);
@@ -297,11 +302,11 @@
 /// Binds a listener. Failures are retried until a timeout, as the address may still be in use after a restart
 /// or the machine may be short of resources.
 async fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
-    let give_up_at = Instant::now() + START_TIMEOUT;
+    let deadline = Instant::now() + START_TIMEOUT;
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return Ok(listener),
-            Err(error) if Instant::now() < give_up_at => {
+            Err(error) if Instant::now() < deadline => {
                 tracing::warn!(%address, %error, "cannot listen yet");
                 sleep(START_RETRY_DELAY).await;
             }
@@ -312,10 +317,10 @@
 
 /// Reads a configuration file, retrying transient errors until a timeout.
 async fn read_config<T>(read: impl Fn() -> Result<T, ConfigError>) -> Result<T, StartError> {
-    let give_up_at = Instant::now() + START_TIMEOUT;
+    let deadline = Instant::now() + START_TIMEOUT;
     loop {
         match read() {
-            Err(error) if error.is_transient() && Instant::now() < give_up_at => {
+            Err(error) if error.is_transient() && Instant::now() < deadline => {
                 tracing::warn!(%error, "configuration not readable yet");
                 sleep(START_RETRY_DELAY).await;
             }
--- a/tests/listener_close.rs
+++ b/tests/listener_close.rs
@@ -17,9 +17,9 @@
 
 /// Handler that answers every request with the same text.
 #[derive(Clone)]
-struct FixedAnswer;
+struct FixedResponse;
 
-impl RequestHandler for FixedAnswer {
+impl RequestHandler for FixedResponse {
     fn counters(&self) -> Rc<Counters> {
         Rc::default()
     }
@@ -33,10 +33,10 @@
 async fn serve_until_sigterm() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind listener");
     let address = listener.local_addr().expect("listener address");
-    let signals = TerminationSignals::listen().expect("register signal handlers");
+    let signals = TerminationSignals::register().expect("register signal handlers");
     let shutdown = Shutdown::default();
     let limiter: Rc<ConnectionLimiter> = ConnectionLimiter::new(8, 1_024);
-    spawn_local(serve(listener, None, limiter, shutdown.clone(), |_| FixedAnswer));
+    spawn_local(serve(listener, None, limiter, shutdown.clone(), |_| FixedResponse));
     let own_pid = std::process::id().to_string();
     assert!(Command::new("kill").args(["-TERM", &own_pid]).status().expect("run kill").success());
     shutdown.run(signals).await;
--- a/tests/socket_limits.rs
+++ b/tests/socket_limits.rs
@@ -12,8 +12,9 @@
     let base = address();
     let mut platform = PlatformConfig::read(&platform_config(&base)).expect("valid configuration");
     let chat = ChatConfig::read(&chat_config(&base, &["s1"], "")).expect("valid chat configuration");
-    let chat_sockets = chat.max_clients + chat.pool.max_connections;
-    let platform_sockets = |config: &PlatformConfig| config.max_clients + config.pool.max_connections;
+    let chat_sockets = chat.max_client_connections + chat.pool.max_connections;
+    let platform_sockets =
+        |config: &PlatformConfig| config.max_client_connections + config.pool.max_connections;
     // The remainder is for discovery, connections that are only rejected, the listeners and the runtime.
     assert!(platform_sockets(&platform) <= 900, "{}", platform_sockets(&platform));
     platform.reserve_sockets(chat_sockets);
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn nothing_is_kept_of_a_removed_endpoint() {
+fn a_removed_endpoint_is_dropped_from_the_pool() {
     let platform = PlatformConfig::read(&platform_config(&address())).expect("valid configuration");
     let pool = ConnectionPool::new(platform.pool, Default::default());
     let addr = platform.listen;
