--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_start_with_a_known_endpoint_list_makes_one_call_for_its_changes_and_waits_for_it() {
+fn a_start_with_a_known_endpoint_list_opens_one_watch_and_waits_for_its_answer() {
     let base = address();
     let listener = TcpListener::bind(format!("{base}:8500")).expect("bind discovery address");
     let config = platform_config(&base);
@@ -60,7 +60,7 @@
 
 /// Returns the maximum number of calls per second, from second `from` on, of a fleet that starts at once and
 /// whose calls all fail.
-fn busiest_second(replicas: u32, from: u64) -> usize {
+fn max_calls_per_second(replicas: u32, from: u64) -> usize {
     let mut calls: BTreeMap<u64, usize> = BTreeMap::new();
     for seed in 0..u64::from(replicas) {
         let mut backoff = Backoff::new(replicas, seed);
@@ -74,20 +74,28 @@
 }
 
 #[test]
-fn a_large_fleet_that_starts_together_and_is_rejected_spreads_its_calls() {
-    assert!(busiest_second(100, 0) <= 50, "{} calls in one second after startup", busiest_second(100, 0));
+fn a_large_fleet_that_starts_at_once_and_is_rejected_spreads_its_calls() {
+    assert!(
+        max_calls_per_second(100, 0) <= 50,
+        "{} calls in one second after startup",
+        max_calls_per_second(100, 0)
+    );
     // The 6 s limit allows delays of up to 4 s, so evenly spread calls are a third of the fleet per second.
-    assert!(busiest_second(100, 15) <= 45, "{} calls in one second while retrying", busiest_second(100, 15));
+    assert!(
+        max_calls_per_second(100, 15) <= 45,
+        "{} calls in one second while retrying",
+        max_calls_per_second(100, 15)
+    );
     // At most half of the fleet calls in any second, even though so many replicas must call within 4 s.
     assert!(
-        busiest_second(400, 0) <= 200,
+        max_calls_per_second(400, 0) <= 200,
         "{} calls in one second of the larger fleet",
-        busiest_second(400, 0)
+        max_calls_per_second(400, 0)
     );
 }
 
 #[test]
-fn no_replica_of_any_fleet_waits_so_long_that_it_sees_a_change_after_six_seconds() {
+fn backoff_delays_let_every_replica_apply_changes_within_six_seconds() {
     // A call may be queued at discovery for 2 s of the 6 s.
     for replicas in [1, 20, 100, 300, 1_000] {
         for seed in 0..200 {
@@ -100,7 +108,7 @@
 }
 
 #[test]
-fn a_small_fleet_retries_soon_and_sooner_again_after_a_success() {
+fn a_small_fleet_retries_soon_and_resets_its_backoff_after_a_success() {
     let mut backoff = Backoff::new(4, 7);
     assert!(backoff.initial_delay() <= Duration::from_millis(160));
     let first = backoff.next_delay();
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_endpoint_list_that_is_cut_anywhere_is_applied_on_the_same_watch() {
+fn an_endpoint_list_split_at_any_byte_is_applied_on_the_same_watch() {
     let base = address();
     let mut router = start_router(&base, &["w1"], &[]);
     let text = endpoint_list(2, false, &[endpoint_entry(&base, "w1", "Terminating")]) + "\n";
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_endpoint_whose_entry_is_malformed_gets_nothing_new() {
+fn an_endpoint_whose_entry_is_malformed_receives_no_requests() {
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let mut router = start_router(&base, &["r1", "w1"], &[]);
@@ -92,12 +92,12 @@
         assert_eq!(lists[0].endpoints.len(), 3_200);
         started_at.elapsed()
     };
-    let at_once = time_to_read(text.len());
+    let in_one_piece = time_to_read(text.len());
     let in_pieces = time_to_read(97);
-    println!("{} bytes: in one piece {at_once:?}, in pieces of 97 bytes {in_pieces:?}", text.len());
+    println!("{} bytes: in one piece {in_one_piece:?}, in pieces of 97 bytes {in_pieces:?}", text.len());
     assert!(
-        in_pieces < 5 * at_once + Duration::from_millis(200),
-        "in one piece {at_once:?}, in pieces {in_pieces:?}"
+        in_pieces < 5 * in_one_piece + Duration::from_millis(200),
+        "in one piece {in_one_piece:?}, in pieces {in_pieces:?}"
     );
 }
 
--- a/tests/paused_process.rs
+++ b/tests/paused_process.rs
@@ -13,7 +13,7 @@
 
 /// How long the process is stopped. An attempt may start only much sooner than this after its client has
 /// disconnected.
-const PAUSE: Duration = Duration::from_millis(400);
+const PAUSE_DURATION: Duration = Duration::from_millis(400);
 
 /// When a client connects to a router that is about to be paused.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     let mut client = client.unwrap_or_else(|| connect_client(&base));
     client.send(&request(id, "climb-query", 6_000));
     client.close();
-    std::thread::sleep(PAUSE);
+    std::thread::sleep(PAUSE_DURATION);
     router.process.signal("CONT");
     router.process.terminate();
     assert_eq!(
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_request_with_hardly_any_time_left_is_rejected_at_once() {
+fn a_request_close_to_its_deadline_is_rejected_immediately() {
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let _decode_stub = StubListener::endpoint(&base, "w1");
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn requests_are_served_while_calls_fail_transfer_less_and_are_interrupted() {
+fn requests_are_served_despite_failed_short_and_interrupted_system_calls() {
     let base = address();
     let faults = Faults::new(&base, &[]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
