--- a/src/server/api_context.rs
+++ b/src/server/api_context.rs
@@ -62,7 +62,7 @@
     /// Closes the connection behind this response where its client should connect to another replica: at
     /// shutdown, or where more clients are connected than are served.
     pub(super) fn close_if_unwanted(&self, response: &mut ServerResponse) {
-        if self.shutdown.has_begun() || self.limiter.over_limit() {
+        if self.shutdown.has_started() || self.limiter.over_limit() {
             set_connection_close(response);
         }
     }
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -105,6 +105,6 @@
 /// Waits until the process ends and no request is on its way: at a graceful shutdown the HTTP library closes
 /// a connection that waits for a request at once, even with a part of a head read.
 async fn ready_to_drain(shutdown: &Shutdown, client: &ClientState) {
-    shutdown.wait_begun().await;
+    shutdown.wait_started().await;
     client.no_request_arriving(CONNECT_GRACE).await;
 }
--- a/src/server/listener.rs
+++ b/src/server/listener.rs
@@ -52,7 +52,7 @@
         loop {
             let accepted = tokio::select! {
                 biased;
-                () = self.shutdown.wait_closed() => return,
+                () = self.shutdown.wait_listeners_closed() => return,
                 accepted = self.accept(listener) => accepted,
             };
             match accepted {
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -94,7 +94,7 @@
 
 impl Shutdown {
     /// Returns whether the shutdown has started.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.started_at.borrow().is_some()
     }
 
@@ -104,12 +104,12 @@
     }
 
     /// Waits until the shutdown starts.
-    pub async fn wait_begun(&self) {
+    pub async fn wait_started(&self) {
         let _ = self.started_at.subscribe().wait_for(Option::is_some).await;
     }
 
     /// Waits until the listeners stop accepting connections.
-    pub async fn wait_closed(&self) {
+    pub async fn wait_listeners_closed(&self) {
         let _ = self.listeners_closed.subscribe().wait_for(|closed| *closed).await;
     }
 
