--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -142,7 +142,7 @@
 
 impl Counters {
     /// Counts the outcome of an attempt.
-    pub fn attempt_ended(&self, outcome: Outcome) {
+    pub fn record_attempt_outcome(&self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Completed => &self.attempts_completed,
             Outcome::Prefilled => &self.attempts_prefilled,
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -120,7 +120,7 @@
     pub(super) fn finish_attempt(&mut self, attempt: &Attempt, result: AttemptEnd) -> NextStep {
         let AttemptEnd { outcome, cached_tokens, load_report } = result;
         self.last_outcome = Some(outcome);
-        self.context.counters.attempt_ended(outcome);
+        self.context.counters.record_attempt_outcome(outcome);
         let elapsed = attempt.elapsed();
         tracing::debug!(
             request_id = %self.id,
