--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings object, which a replica's configuration and the simulator's first message hold alike: it is read into
-//! the scheduler's settings and the names that later messages refer to.
+//! Converts the settings object, which appears both in a replica's configuration and in the simulator's first
+//! message, to scheduler settings and the names that later messages refer to.
 
 mod error;
 pub(crate) mod object;
@@ -15,64 +15,64 @@
 };
 use object::{Account, FamilyInfo, Invariants, Lane, MembershipMode, Options, WireIdempotency, WireLimits};
 
-/// The names in a settings object, each list in the order of the scheduler's indices.
+/// The names defined by a settings object. Each list is indexed by the corresponding scheduler id.
 #[derive(Clone, Debug, Default)]
 pub struct SettingNames {
-    /// Zones, by [`ZoneId`].
+    /// Zone names, indexed by [`ZoneId`].
     pub zones: Vec<String>,
-    /// Kinds of endpoint, by [`KindId`].
+    /// Names of the endpoint kinds, indexed by [`KindId`].
     pub kinds: Vec<String>,
-    /// Classes of request, by [`ClassId`].
+    /// Names of the request classes, indexed by [`ClassId`].
     pub classes: Vec<String>,
-    /// Tenants, by [`TenantId`].
+    /// Tenant names, indexed by [`TenantId`].
     pub tenants: Vec<String>,
 }
 
 impl SettingNames {
     pub(crate) fn zone_id(&self, name: &str) -> Result<ZoneId, UnknownName> {
-        position(&self.zones, "zone", name).map(ZoneId)
+        index_of(&self.zones, "zone", name).map(ZoneId)
     }
 
     pub(crate) fn kind_id(&self, name: &str) -> Result<KindId, UnknownName> {
-        position(&self.kinds, "kind", name).map(KindId)
+        index_of(&self.kinds, "kind", name).map(KindId)
     }
 
     pub(crate) fn class_id(&self, name: &str) -> Result<ClassId, UnknownName> {
-        position(&self.classes, "class", name).map(ClassId)
+        index_of(&self.classes, "class", name).map(ClassId)
     }
 
     pub(crate) fn tenant_id(&self, name: &str) -> Result<TenantId, UnknownName> {
-        position(&self.tenants, "tenant", name).map(TenantId)
+        index_of(&self.tenants, "tenant", name).map(TenantId)
     }
 }
 
-fn position(names: &[String], category: &'static str, name: &str) -> Result<usize, UnknownName> {
+fn index_of(names: &[String], category: &'static str, name: &str) -> Result<usize, UnknownName> {
     names
         .iter()
         .position(|known| known == name)
         .ok_or_else(|| UnknownName { category, name: name.to_owned() })
 }
 
-/// The scheduler's settings, and the names behind its indices.
+/// Scheduler settings with the names of their indices.
 #[derive(Clone, Debug)]
 pub struct NamedSettings {
-    /// The settings.
+    /// The scheduler settings.
     pub settings: Settings,
-    /// The names.
+    /// The names that the indices stand for.
     pub names: SettingNames,
 }
 
-/// Reads the settings object that the simulator's first message and a replica's configuration hold.
+/// Parses and validates a settings object.
 ///
 /// # Errors
 ///
-/// When the object lacks a key, has a value of the wrong type, or contradicts itself.
-pub fn settings_from(options: Value) -> Result<NamedSettings, SettingsError> {
+/// Returns an error if a key is missing, a value has the wrong type, or values contradict each other.
+pub fn parse_settings(options: Value) -> Result<NamedSettings, SettingsError> {
     let options: Options = serde_json::from_value(options)?;
     settings_from_options(&options)
 }
 
-/// As [`settings_from`], for an object that has been parsed.
+/// Like [`parse_settings`], for an object that is already deserialized.
 pub(crate) fn settings_from_options(options: &Options) -> Result<NamedSettings, SettingsError> {
     let kinds = endpoint_kinds(&options.kinds, &options.family)?;
     if options.replicas == 0 {
@@ -105,7 +105,7 @@
     Tenant { quota_per_s: account.quota_per_s }
 }
 
-/// The kinds of endpoint; some kind must prefill and some kind must decode.
+/// Builds the endpoint kinds. At least one must support prefill and at least one must support decode.
 fn endpoint_kinds(names: &[String], family: &FamilyInfo) -> Result<Vec<EndpointKind>, SettingsError> {
     let kinds = names
         .iter()
@@ -132,7 +132,7 @@
 }
 
 fn request_class(class: &Lane, index: usize, family: &FamilyInfo) -> Result<RequestClass, SettingsError> {
-    let entry_of_class = |entries: &[f64], key: &'static str| {
+    let class_entry = |entries: &[f64], key: &'static str| {
         entries
             .get(index)
             .copied()
@@ -140,8 +140,8 @@
     };
     let idempotency = idempotency(class)?;
     let objective_per_1000_prompt_tokens_us =
-        entry_of_class(&family.objectives_per_1000_prompt_tokens_us, "aimUsPer1000PromptTokens")?;
-    let inter_token_objective_ms = entry_of_class(&family.inter_token_objectives_ms, "tokenAim")?;
+        class_entry(&family.objectives_per_1000_prompt_tokens_us, "aimUsPer1000PromptTokens")?;
+    let inter_token_objective_ms = class_entry(&family.inter_token_objectives_ms, "tokenAim")?;
     Ok(RequestClass {
         first_token_objective: micros_from_millis(class.first_token_objective_ms),
         objective_per_1000_prompt_tokens: objective_per_1000_prompt_tokens_us as Micros,
@@ -153,7 +153,7 @@
     })
 }
 
-/// What a second execution of the class's requests does. A keyed class must have both a scope and a window.
+/// Builds the idempotency of a class. A class with idempotency keys must define both a scope and a window.
 fn idempotency(class: &Lane) -> Result<Idempotency, SettingsError> {
     match class.idempotency {
         WireIdempotency::Idempotent => Ok(Idempotency::Idempotent),
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: after a termination signal the process still takes what is on its way, drains, and
-//! ends.
+//! Graceful shutdown: after a termination signal, the process keeps accepting for a grace period, drains, and
+//! exits.
 
 use std::cell::Cell;
 use std::io;
@@ -10,35 +10,35 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
 
-/// For how long after the termination signal clients may still open connections.
+/// How long clients may still open connections after the termination signal.
 pub const CONNECT_GRACE: Duration = Duration::from_millis(1_000);
 
-/// For how long after the termination signal requests are still accepted. The process may be killed from 0.7
-/// s after the signal on, so a request that arrives later might never be answered: it is rejected, and its
-/// client can go elsewhere.
+/// How long requests are still accepted after the termination signal. The process may be killed as early as
+/// 0.7 s after the signal, so later requests might never be answered. They are rejected, which lets their
+/// clients retry elsewhere.
 const REQUEST_GRACE: Duration = Duration::from_millis(600);
 
-/// The signals that ask the process to end, SIGTERM and SIGINT.
+/// Handlers for the termination signals, SIGTERM and SIGINT.
 pub struct TerminationSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl TerminationSignals {
-    /// Registers for both signals. From now on they no longer kill the process.
+    /// Registers handlers for both signals. From then on, they no longer kill the process.
     ///
     /// # Errors
     ///
-    /// Fails where the system refuses to register a signal.
-    pub fn listen() -> io::Result<Self> {
+    /// Returns an error if a handler cannot be registered.
+    pub fn register() -> io::Result<Self> {
         Ok(TerminationSignals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
         })
     }
 
-    /// Waits for either signal.
-    pub async fn received(&mut self) {
+    /// Waits for one of the signals.
+    pub async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
@@ -46,38 +46,38 @@
     }
 }
 
-/// The state of the shutdown, handed down to all that must know of it. All clones share one state.
+/// Shutdown state of the process. Clones share the same state.
 #[derive(Clone)]
 pub struct Shutdown {
-    /// When the shutdown began.
+    /// When the shutdown started, if it has.
     started_at: watch::Sender<Option<Instant>>,
-    /// Whether no more connections are accepted.
+    /// Whether the listeners have stopped accepting connections.
     listeners_closed: watch::Sender<bool>,
-    unfinished: Rc<Unfinished>,
+    open_guards: Rc<OpenGuards>,
 }
 
-/// What must end before the process does.
+/// Tracks work that must finish before the process exits.
 #[derive(Default)]
-struct Unfinished {
-    guards: Cell<usize>,
-    none_left: Notify,
+struct OpenGuards {
+    count: Cell<usize>,
+    all_dropped: Notify,
 }
 
-/// Keeps the process from ending until it is dropped.
-pub struct ShutdownGuard(Rc<Unfinished>);
+/// Delays the exit of the process until it is dropped.
+pub struct ShutdownGuard(Rc<OpenGuards>);
 
 impl ShutdownGuard {
-    fn new(unfinished: &Rc<Unfinished>) -> Self {
-        unfinished.guards.set(unfinished.guards.get() + 1);
-        ShutdownGuard(unfinished.clone())
+    fn new(open_guards: &Rc<OpenGuards>) -> Self {
+        open_guards.count.set(open_guards.count.get() + 1);
+        ShutdownGuard(open_guards.clone())
     }
 }
 
 impl Drop for ShutdownGuard {
     fn drop(&mut self) {
-        self.0.guards.set(self.0.guards.get() - 1);
-        if self.0.guards.get() == 0 {
-            self.0.none_left.notify_waiters();
+        self.0.count.set(self.0.count.get() - 1);
+        if self.0.count.get() == 0 {
+            self.0.all_dropped.notify_waiters();
         }
     }
 }
@@ -87,57 +87,57 @@
         Shutdown {
             started_at: watch::Sender::new(None),
             listeners_closed: watch::Sender::new(false),
-            unfinished: Rc::default(),
+            open_guards: Rc::default(),
         }
     }
 }
 
 impl Shutdown {
-    /// Whether the shutdown has begun.
-    pub fn has_begun(&self) -> bool {
+    /// Returns whether the shutdown has started.
+    pub fn has_started(&self) -> bool {
         self.started_at.borrow().is_some()
     }
 
-    /// Whether the shutdown has gone on for so long that no request may be accepted any more.
+    /// Returns whether requests are rejected because the grace period for requests is over.
     pub fn rejects_requests(&self) -> bool {
         self.started_at.borrow().is_some_and(|started_at| started_at.elapsed() >= REQUEST_GRACE)
     }
 
-    /// Waits until the shutdown begins.
-    pub async fn wait_begun(&self) {
+    /// Waits until the shutdown starts.
+    pub async fn wait_started(&self) {
         let _ = self.started_at.subscribe().wait_for(Option::is_some).await;
     }
 
-    /// Waits until no more connections are accepted.
-    pub async fn wait_closed(&self) {
+    /// Waits until the listeners stop accepting connections.
+    pub async fn wait_listeners_closed(&self) {
         let _ = self.listeners_closed.subscribe().wait_for(|closed| *closed).await;
     }
 
-    /// Keeps the process from ending until the guard is dropped.
+    /// Returns a guard that delays the exit of the process until it is dropped.
     pub fn guard(&self) -> ShutdownGuard {
-        ShutdownGuard::new(&self.unfinished)
+        ShutdownGuard::new(&self.open_guards)
     }
 
-    /// Waits for a termination signal, then for the grace period of connections, then for all guards to be
+    /// Waits for a termination signal, the grace period for connections, and then for all guards to be
     /// dropped.
     pub async fn run(&self, mut signals: TerminationSignals) {
-        signals.received().await;
-        tracing::info!(open = self.unfinished.guards.get(), "shutdown started");
+        signals.recv().await;
+        tracing::info!(open = self.open_guards.count.get(), "shutdown started");
         self.started_at.send_replace(Some(Instant::now()));
         sleep(CONNECT_GRACE).await;
-        tracing::info!(open = self.unfinished.guards.get(), "shutdown closes the listeners");
+        tracing::info!(open = self.open_guards.count.get(), "shutdown closes the listeners");
         self.listeners_closed.send_replace(true);
-        self.wait_finished().await;
+        self.wait_for_guards().await;
     }
 
-    async fn wait_finished(&self) {
+    async fn wait_for_guards(&self) {
         loop {
-            // Created before the check, so that a guard that is dropped after it still wakes this task.
-            let none_left = self.unfinished.none_left.notified();
-            if self.unfinished.guards.get() == 0 {
+            // Created before the check so that a guard dropped after the check still wakes this task.
+            let all_dropped = self.open_guards.all_dropped.notified();
+            if self.open_guards.count.get() == 0 {
                 return;
             }
-            none_left.await;
+            all_dropped.await;
         }
     }
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -1,4 +1,5 @@
-//! What starts, in which order. The listeners come last: from then on clients connect, and their time runs.
+//! Startup sequence. Listeners are opened last because clients connect, and their deadlines run, from that
+//! point on.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,7 +9,7 @@
 
 use inference_router::clock::{Clock, duration_from_micros};
 use inference_router::config::error::single_line;
-use inference_router::config::reload::{hangups, ignore_hangups, reload_on_hangup};
+use inference_router::config::reload::{ignore_sighup, listen_for_sighup, reload_on_sighup};
 use inference_router::config::{ChatConfig, ConfigError, PlatformConfig, TlsSettings};
 use inference_router::discovery::directory::EndpointDirectory;
 use inference_router::discovery::watch::EndpointWatch;
@@ -31,87 +32,87 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a start waits for discovery before the router is ready with the endpoint list of its
-/// configuration, which may be old.
+/// How long startup waits for discovery before the router becomes ready with the endpoint list in its
+/// configuration, which may be outdated.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a start repeats what the system refuses to do; a start may take 30 s in all.
+/// How long startup retries failing system calls. Startup may take at most 30 s in total.
 const START_TIMEOUT: Duration = Duration::from_secs(15);
-/// From one try of what the system refuses to do to the next.
+/// Delay between retries of a failing system call during startup.
 const START_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Why the router cannot start.
+/// An error that prevents the router from starting.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
-    /// A configuration cannot be used.
+    /// A configuration file cannot be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The identity files that a configuration names cannot be used.
+    /// The TLS files referenced by a configuration cannot be used.
     #[error("{}: {}", .path.display(), single_line(.source))]
     Identity {
-        /// The configuration.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// What is wrong with the identity files.
+        /// The underlying error.
         source: IdentityError,
     },
-    /// There is no configuration at all.
-    #[error("nothing to do: set LB_CONFIG for the platform's front or --chat FILE for the chat front")]
-    NothingToDo,
-    /// The system refuses an address to listen on.
+    /// Neither API is configured.
+    #[error("nothing to do: set LB_CONFIG for the platform API or pass --chat FILE for the chat API")]
+    NoConfiguration,
+    /// A listen address cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The listen address.
         address: SocketAddr,
-        /// Why it is refused.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The system refuses to register a signal.
+    /// A signal handler cannot be registered.
     #[error(transparent)]
     Signals(#[from] io::Error),
 }
 
-/// Where the configuration of each API is; none where the API is not served.
+/// Path of each API's configuration file, or `None` if the API is not served.
 pub(crate) struct ConfigPaths {
-    /// Of the platform API.
+    /// Path for the platform API.
     pub(crate) platform: Option<PathBuf>,
-    /// Of the chat API.
+    /// Path for the chat API.
     pub(crate) chat: Option<PathBuf>,
 }
 
-/// The platform API's configuration, and the file in which it may be replaced.
-struct PlatformSource {
+/// The platform configuration and the path to reload it from.
+struct LoadedPlatformConfig {
     config: PlatformConfig,
     path: PathBuf,
 }
 
-/// The chat API's configuration, and what verifies its clients' identities, where they must prove them.
-struct ChatSource {
+/// The chat configuration and the verifier of client identities, if clients must authenticate.
+struct LoadedChatConfig {
     config: ChatConfig,
     identities: Option<IdentityVerifier>,
 }
 
-/// What the APIs of one process share.
-struct Process {
+/// State shared by the APIs of the process.
+struct ProcessContext {
     clock: Clock,
     shutdown: Shutdown,
 }
 
-/// One API that has started, and what it counts.
+/// A started API and its counters.
 struct RunningApi {
-    /// Its name in the log.
+    /// Name of the API in the log.
     name: &'static str,
     counters: Rc<Counters>,
 }
 
-/// Starts the router and runs it until it is asked to end and all is finished.
+/// Starts the router and runs it until a graceful shutdown is complete.
 pub(crate) async fn run(paths: &ConfigPaths) -> Result<(), StartError> {
     let clock = Clock::start();
-    let hangup_signals = hangups()?;
-    let mut termination_signals = TerminationSignals::listen()?;
-    let process = Process { clock, shutdown: Shutdown::default() };
+    let sighup = listen_for_sighup()?;
+    let mut termination_signals = TerminationSignals::register()?;
+    let process = ProcessContext { clock, shutdown: Shutdown::default() };
     let apis = tokio::select! {
-        started = start(paths, &process, hangup_signals) => started?,
-        () = termination_signals.received() => {
-            tracing::info!("shutdown requested before the start was complete");
+        started = start(paths, &process, sighup) => started?,
+        () = termination_signals.recv() => {
+            tracing::info!("shutdown requested during startup");
             return Ok(());
         }
     };
@@ -125,9 +126,9 @@
     Ok(())
 }
 
-/// Reads all configurations, then starts an API for each.
+/// Reads all configuration files, then starts the configured APIs.
 async fn start(
-    paths: &ConfigPaths, process: &Process, hangup_signals: Signal,
+    paths: &ConfigPaths, process: &ProcessContext, sighup: Signal,
 ) -> Result<Vec<RunningApi>, StartError> {
     let chat = match &paths.chat {
         Some(path) => Some(read_chat_config(path).await?),
@@ -138,29 +139,29 @@
         None => None,
     };
     if platform.is_none() && chat.is_none() {
-        return Err(StartError::NothingToDo);
+        return Err(StartError::NoConfiguration);
     }
     let mut apis = Vec::new();
     match platform {
-        Some(source) => apis.push(start_platform_api(source, process, hangup_signals).await?),
+        Some(loaded) => apis.push(start_platform_api(loaded, process, sighup).await?),
         None => {
-            spawn_local(ignore_hangups(hangup_signals));
+            spawn_local(ignore_sighup(sighup));
         }
     }
-    if let Some(source) = chat {
-        apis.push(start_chat_api(source, process).await?);
+    if let Some(loaded) = chat {
+        apis.push(start_chat_api(loaded, process).await?);
     }
     Ok(apis)
 }
 
-/// Reads the chat API's configuration and the identity files that it names.
-async fn read_chat_config(path: &Path) -> Result<ChatSource, StartError> {
+/// Reads the chat configuration and the TLS files that it references.
+async fn read_chat_config(path: &Path) -> Result<LoadedChatConfig, StartError> {
     let mut config = read_config(|| ChatConfig::read(path)).await?;
     let identities = match config.tls.take() {
         Some(tls) => Some(read_identities(tls, path)?),
         None => None,
     };
-    Ok(ChatSource { config, identities })
+    Ok(LoadedChatConfig { config, identities })
 }
 
 fn read_identities(tls: TlsSettings, config_path: &Path) -> Result<IdentityVerifier, StartError> {
@@ -169,30 +170,33 @@
         .map_err(|source| StartError::Identity { path: config_path.to_owned(), source })
 }
 
-/// Reads the platform's configuration and leaves it the sockets that the chat API does not use.
-async fn read_platform_config(path: &Path, chat: Option<&ChatSource>) -> Result<PlatformSource, StartError> {
+/// Reads the platform configuration and reserves the sockets that the chat API needs.
+async fn read_platform_config(
+    path: &Path, chat: Option<&LoadedChatConfig>,
+) -> Result<LoadedPlatformConfig, StartError> {
     let mut config = read_config(|| PlatformConfig::read(path)).await?;
-    let chat_sockets = chat.map_or(0, |chat| chat.config.max_clients + chat.config.pool.max_connections);
+    let chat_sockets =
+        chat.map_or(0, |chat| chat.config.max_client_connections + chat.config.pool.max_connections);
     config.reserve_sockets(chat_sockets);
-    Ok(PlatformSource { config, path: path.to_owned() })
+    Ok(LoadedPlatformConfig { config, path: path.to_owned() })
 }
 
-/// Starts the platform API: routing, reloads, the watch on discovery, and at last the listener.
+/// Starts the platform API: routing, configuration reloads, the discovery watch and finally the listener.
 async fn start_platform_api(
-    source: PlatformSource, process: &Process, hangup_signals: Signal,
+    loaded: LoadedPlatformConfig, process: &ProcessContext, sighup: Signal,
 ) -> Result<RunningApi, StartError> {
-    let PlatformSource { config, path } = source;
+    let LoadedPlatformConfig { config, path } = loaded;
     let counters = Rc::new(Counters::default());
     let pool = Rc::new(ConnectionPool::new(config.pool.clone(), counters.clone()));
     let reservation_limit = duration_from_micros(config.settings.rules.reservation_limit);
     let upstream = Upstream::new(pool, UpstreamProtocol::Platform, counters.clone(), reservation_limit);
     let routing = Routing::start(&config.settings, config.seed, process.clock, upstream, counters.clone());
     let (discovery_address, discovery_changes) = watch::channel(config.discovery);
-    spawn_local(reload_on_hangup(hangup_signals, path, discovery_address, counters.clone()));
+    spawn_local(reload_on_sighup(sighup, path, discovery_address, counters.clone()));
     let context = routing.spawn_fleet_tasks();
     let ready = start_discovery(&config, context.clone(), process.clock, discovery_changes);
 
-    let limiter = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
+    let limiter = ConnectionLimiter::new(config.max_client_connections, config.max_body_bytes);
     let max_retry_after = config.settings.capabilities.max_retry_after;
     let shutdown = process.shutdown.clone();
     let api =
@@ -203,7 +207,7 @@
     Ok(RunningApi { name: "platform", counters })
 }
 
-/// Starts the watch on discovery. The result turns true once the router is ready.
+/// Starts the discovery watch. The returned receiver becomes true once the router is ready.
 fn start_discovery(
     config: &PlatformConfig, context: RoutingContext, clock: Clock, address: watch::Receiver<SocketAddr>,
 ) -> watch::Receiver<bool> {
@@ -211,31 +215,33 @@
     if let Some(list) = &config.known_endpoints {
         directory.apply(list);
     }
-    let (notified, discovery_answered) = watch::channel(false);
+    let (answered_sender, discovery_answered) = watch::channel(false);
     let (ready, is_ready) = watch::channel(false);
-    let endpoint_watch = EndpointWatch::new(directory, &config.settings, config.seed, notified);
+    let endpoint_watch = EndpointWatch::new(directory, &config.settings, config.seed, answered_sender);
     spawn_local(endpoint_watch.run(address));
     spawn_local(signal_ready(discovery_answered, config.known_endpoints.is_some(), ready));
     is_ready
 }
 
-/// Signals that the router is ready: once discovery has answered, or when that takes too long and the
-/// configuration has an endpoint list.
+/// Signals readiness once discovery has answered, or after a timeout if the configuration has an endpoint
+/// list.
 async fn signal_ready(
     mut discovery_answered: watch::Receiver<bool>, has_known_endpoints: bool, ready: watch::Sender<bool>,
 ) {
     let answer = discovery_answered.wait_for(|answered| *answered);
-    let in_time = timeout(DISCOVERY_TIMEOUT, answer).await.is_ok();
-    if !in_time && !has_known_endpoints {
+    let answered_in_time = timeout(DISCOVERY_TIMEOUT, answer).await.is_ok();
+    if !answered_in_time && !has_known_endpoints {
         let _ = discovery_answered.wait_for(|answered| *answered).await;
     }
-    tracing::info!(endpoint_list = if in_time { "discovery" } else { "configuration" }, "ready");
+    tracing::info!(endpoint_list = if answered_in_time { "discovery" } else { "configuration" }, "ready");
     ready.send_replace(true);
 }
 
-/// Starts the chat API: routing, its fixed endpoints, and at last the listener.
-async fn start_chat_api(source: ChatSource, process: &Process) -> Result<RunningApi, StartError> {
-    let ChatSource { mut config, identities } = source;
+/// Starts the chat API: routing, the fixed endpoints and finally the listener.
+async fn start_chat_api(
+    loaded: LoadedChatConfig, process: &ProcessContext,
+) -> Result<RunningApi, StartError> {
+    let LoadedChatConfig { mut config, identities } = loaded;
     let seed = process.clock.now() as u64 ^ (u64::from(std::process::id()) << 48);
     let counters = Rc::new(Counters::default());
     let pool = Rc::new(ConnectionPool::new(config.pool.clone(), counters.clone()));
@@ -245,7 +251,7 @@
         Routing::start(&config.settings, seed, process.clock, upstream, counters.clone()).spawn_fleet_tasks();
     add_fixed_endpoints(&config, &context);
 
-    let limiter = ConnectionLimiter::new(config.max_clients, config.max_body_bytes);
+    let limiter = ConnectionLimiter::new(config.max_client_connections, config.max_body_bytes);
     let address = config.listen;
     let shutdown = process.shutdown.clone();
     let api = ChatApi::new(context, Rc::new(config), limiter.clone(), shutdown.clone(), seed);
@@ -255,7 +261,7 @@
     Ok(RunningApi { name: "chat", counters })
 }
 
-/// Makes the endpoints of the chat API's configuration known, all ready.
+/// Registers the endpoints of the chat configuration, all of them ready.
 fn add_fixed_endpoints(config: &ChatConfig, context: &RoutingContext) {
     let mut updates = Vec::new();
     for (index, endpoint) in config.endpoints.iter().enumerate() {
@@ -267,7 +273,7 @@
     context.scheduler.report_endpoints(true, updates);
 }
 
-/// The scheduler and the endpoints of one API, with the tasks that are still to be spawned.
+/// The scheduler and endpoints of one API, before its background tasks are spawned.
 struct Routing {
     context: RoutingContext,
     fleet_commands: UnboundedReceiver<FleetCommand>,
@@ -283,7 +289,7 @@
         Routing { context, fleet_commands }
     }
 
-    /// Spawns the tasks that concern all endpoints: the scheduler's commands, and the eviction of idle
+    /// Spawns the background tasks for the fleet: the scheduler's commands and the eviction of idle
     /// connections.
     fn spawn_fleet_tasks(self) -> RoutingContext {
         spawn_local(run_fleet_commands(self.context.clone(), self.fleet_commands));
@@ -293,14 +299,14 @@
     }
 }
 
-/// Listens on an address. A router that restarts may find its address still in use, or the machine short of a
-/// resource, so what the system refuses is tried again for a while.
+/// Binds a listener. Failures are retried until a timeout, as the address may still be in use after a restart
+/// or the machine may be short of resources.
 async fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
-    let give_up_at = Instant::now() + START_TIMEOUT;
+    let deadline = Instant::now() + START_TIMEOUT;
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return Ok(listener),
-            Err(error) if Instant::now() < give_up_at => {
+            Err(error) if Instant::now() < deadline => {
                 tracing::warn!(%address, %error, "cannot listen yet");
                 sleep(START_RETRY_DELAY).await;
             }
@@ -309,12 +315,12 @@
     }
 }
 
-/// Reads a configuration. Where the system fails to read the file, this is tried again for a while.
+/// Reads a configuration file, retrying transient errors until a timeout.
 async fn read_config<T>(read: impl Fn() -> Result<T, ConfigError>) -> Result<T, StartError> {
-    let give_up_at = Instant::now() + START_TIMEOUT;
+    let deadline = Instant::now() + START_TIMEOUT;
     loop {
         match read() {
-            Err(error) if error.is_transient() && Instant::now() < give_up_at => {
+            Err(error) if error.is_transient() && Instant::now() < deadline => {
                 tracing::warn!(%error, "configuration not readable yet");
                 sleep(START_RETRY_DELAY).await;
             }
