--- a/src/server/api_context.rs
+++ b/src/server/api_context.rs
@@ -1,4 +1,4 @@
-//! What both APIs do alike with a request: reading its body, load shedding, and the start of its task.
+//! Request handling shared by both APIs: reading bodies, shedding load and spawning request tasks.
 
 use std::rc::Rc;
 
@@ -19,17 +19,17 @@
 use crate::shutdown::Shutdown;
 use crate::upstream::exchange::RequestPayload;
 
-/// Longest `Retry-After` of a shed request, in microseconds: connections come and go within a second, so a
-/// longer wait gains nothing.
+/// Upper bound in microseconds on the `Retry-After` of a shed request. Connections open and close within a
+/// second, so waiting longer does not help.
 const MAX_SHED_RETRY_AFTER: Micros = 1_000_000;
 
-/// What the handlers of an API share.
+/// State shared by the request handlers of one API.
 #[derive(Clone)]
 pub(super) struct ApiContext {
     routing: RoutingContext,
     limiter: Rc<ConnectionLimiter>,
     shutdown: Shutdown,
-    /// Longest `Retry-After` that clients heed; none where they are sent none.
+    /// Longest `Retry-After` that clients honor, in microseconds. `None` omits the header.
     max_retry_after: Option<Micros>,
 }
 
@@ -41,45 +41,45 @@
         ApiContext { routing, limiter, shutdown, max_retry_after }
     }
 
-    /// The metrics of this API.
+    /// Returns the metrics of this API.
     pub(super) fn counters(&self) -> &Rc<Counters> {
         &self.routing.counters
     }
 
-    /// Whether a request that has just been read must be shed: more clients are connected than are served, or
-    /// the process is about to end.
+    /// Returns whether a request that has just been read must be shed, because the connection limit is
+    /// exceeded or the process is about to exit.
     pub(super) fn sheds_new_requests(&self) -> bool {
         self.limiter.over_limit() || self.shutdown.rejects_requests()
     }
 
-    /// Counts a request that is shed: it never reached the scheduler, so a retry is harmless. Returns the
-    /// `Retry-After` for its client.
+    /// Counts a shed request and returns the `Retry-After` for its client. The request never reached the
+    /// scheduler, so it is safe to retry.
     pub(super) fn record_shed(&self) -> Option<Micros> {
         self.counters().shed.increment();
         self.max_retry_after.map(|longest| longest.min(MAX_SHED_RETRY_AFTER))
     }
 
-    /// Closes the connection behind this response where its client should connect to another replica: at
-    /// shutdown, or where more clients are connected than are served.
+    /// Closes the connection after this response if its client should connect to another replica: during
+    /// shutdown, or while the connection limit is exceeded.
     pub(super) fn close_if_unwanted(&self, response: &mut ServerResponse) {
         if self.shutdown.has_begun() || self.limiter.over_limit() {
             set_connection_close(response);
         }
     }
 
-    /// Reads a request's body.
+    /// Reads the body of a request.
     ///
     /// # Errors
     ///
-    /// As [`read_body`].
+    /// See [`read_body`].
     pub(super) async fn read_body(
         &self, request: &mut Request<Incoming>, body_use: BodyUse,
     ) -> Result<ReceivedBody, BodyError> {
         read_body(request, body_use, &self.limiter).await
     }
 
-    /// Starts a request's task, with what it keeps until its end; the result is its response. The task is one
-    /// of its own: a handler's future is dropped when the client disconnects, and the request has still to be
+    /// Spawns the task of a request and returns the receiver of its response. The request gets its own task
+    /// because the handler's future is dropped when the client disconnects, while the request must still be
     /// cancelled and its reservation released.
     pub(super) fn start_request<G: 'static>(
         &self, request: AdmittedRequest<G>,
@@ -100,17 +100,17 @@
 
 /// A request that an API has read and accepted.
 pub(super) struct AdmittedRequest<G> {
-    /// What the scheduler decides by.
+    /// Input of the scheduler's decisions.
     pub(super) spec: RequestSpec,
-    /// What endpoints are sent.
+    /// Data sent to endpoints.
     pub(super) payload: RequestPayload,
-    /// The share of the memory limit that its body takes up.
+    /// Memory accounted to the request body.
     pub(super) allocation: BodyAllocation,
-    /// What is dropped at the request's end.
+    /// Dropped when the request ends.
     pub(super) guard: G,
 }
 
-/// Whether the head of a request gave its body's length in two ways.
+/// Returns whether the request head specified the body length in two ways.
 pub(super) fn has_conflicting_lengths(request: &Request<Incoming>) -> bool {
     request.extensions().get::<RequestArrival>().is_some_and(|arrival| arrival.conflicting_lengths)
 }
--- a/src/server/chat_api/completion.rs
+++ b/src/server/chat_api/completion.rs
@@ -1,4 +1,5 @@
-//! The body of a chat completion request, as far as decisions need it, and what the scheduler is given of it.
+//! Parses the parts of a chat completion request that routing depends on, and derives the input of the
+//! scheduler.
 
 use serde::Deserialize;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -7,19 +8,18 @@
 use crate::config::ChatConfig;
 use crate::scheduler::{CacheKey, Micros, RequestSpec};
 
-/// Characters of a token, about, in the usual tokenizers; the router has none of its own.
+/// Approximate number of characters per token in common tokenizers. The router has no tokenizer of its own.
 const CHARACTERS_PER_TOKEN: f64 = 4.0;
-/// Most tokens that a request may ask for: far above every model's, so that estimates of time do not
-/// overflow.
+/// Maximum number of output tokens that a request may ask for. Far above the limit of any model; prevents
+/// overflow in time estimates.
 pub(super) const MAX_TOKENS_PER_REQUEST: u32 = 1 << 20;
-/// Multiple of the inter-token objective that the writing of a unary response may take before its client
+/// Multiple of the inter-token objective within which a unary response must be generated before its client
 /// gives up.
 const UNARY_OBJECTIVE_MULTIPLE: Micros = 2;
-/// Messages that identify a conversation: its first ones stay the same from turn to turn.
+/// Number of leading messages that identify a conversation. They stay the same from turn to turn.
 const SESSION_MESSAGES: usize = 2;
 
-/// A chat completion request. The names of this type and of its parts are in the texts of the errors that
-/// clients get for malformed bodies.
+/// A chat completion request. Error messages for malformed bodies show the names of these types to clients.
 #[derive(Deserialize)]
 pub(super) struct Completion {
     model: String,
@@ -48,7 +48,7 @@
 }
 
 impl Message {
-    /// Its texts; parts without a text, such as images, count as nothing.
+    /// Returns the text parts. Parts without text, such as images, are ignored.
     fn texts(&self) -> Vec<&str> {
         match &self.content {
             None => Vec::new(),
@@ -57,23 +57,24 @@
         }
     }
 
-    /// Its length in characters.
+    /// Returns the length of the text in characters.
     fn characters(&self) -> usize {
         self.texts().iter().map(|text| text.chars().count()).sum()
     }
 
-    /// The hash of its texts behind what `seed` is the hash of.
+    /// Chains the hash of the text onto `seed`.
     fn hash(&self, seed: u64) -> u64 {
         self.texts().iter().fold(seed, |hash, text| xxh3_64_with_seed(text.as_bytes(), hash))
     }
 }
 
 impl Completion {
-    /// What the scheduler decides by.
+    /// Derives the input of the scheduler.
     ///
     /// # Errors
     ///
-    /// The model is unknown, there are no messages, or the number of tokens is out of range.
+    /// Returns an error if the model is unknown, there are no messages, or the number of tokens is out of
+    /// range.
     pub(super) fn to_spec(&self, config: &ChatConfig) -> Result<RequestSpec, ChatError> {
         let Some(class) = config.models.get(&self.model).copied() else {
             return Err(ChatError::UnknownModel(self.model.clone()));
@@ -95,13 +96,13 @@
             unary: self.stream != Some(true),
             ..RequestSpec::default()
         };
-        // The first message, mostly the system prompt, is what other conversations share.
+        // The first message, usually the system prompt, is shared with other conversations.
         if self.messages.len() > 1 {
             spec.prefix = Some(CacheKey(first_message.hash(0)));
             spec.prefix_tokens = estimated_tokens(first_message.characters());
         }
         if spec.unary {
-            // It arrives with its last token instead of the first, so the time to write it is added.
+            // A unary response arrives with its last token instead of its first, so generation time is added.
             let inter_token_objective = config.settings.classes[class.0].inter_token_objective;
             let slowest_token = inter_token_objective * UNARY_OBJECTIVE_MULTIPLE;
             let writing_time = Micros::from(max_tokens).saturating_mul(slowest_token);
@@ -110,7 +111,7 @@
         Ok(spec)
     }
 
-    /// The key of the conversation: the client's own, or the hash of its first messages.
+    /// Returns the session key: the one sent by the client, or a hash of the first messages.
     fn session(&self) -> CacheKey {
         match &self.prompt_cache_key {
             Some(key) => CacheKey(xxh3_64(key.as_bytes())),
@@ -122,7 +123,7 @@
     }
 }
 
-/// The tokens of so many characters, about.
+/// Estimates the number of tokens in a text of this length.
 fn estimated_tokens(characters: usize) -> f64 {
     (characters as f64 / CHARACTERS_PER_TOKEN).max(1.0)
 }
--- a/src/server/chat_api/error.rs
+++ b/src/server/chat_api/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the chat API, in the form of the public API's error object.
+//! Errors of the chat API, in the format of the public API's error object.
 
 use std::rc::Rc;
 
@@ -13,56 +13,56 @@
 use crate::server::request_body::BodyError;
 use crate::server::response::set_retry_after;
 
-/// Says whether client libraries may retry by themselves.
+/// Tells client libraries whether to retry automatically.
 const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
 
 const INVALID_REQUEST: &str = "invalid_request_error";
 
-/// Why a request got no answer of an endpoint.
+/// Why a request got no response from an endpoint.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ChatError {
-    /// The body is not a chat completion.
+    /// The body is not a valid chat completion request.
     #[error(transparent)]
     MalformedBody(serde_json::Error),
-    /// It has no messages.
+    /// The request has no messages.
     #[error("messages: must not be empty")]
     NoMessages,
-    /// It asks for no token or for too many.
+    /// The requested number of tokens is out of range.
     #[error("max_tokens: must lie between 1 and {MAX_TOKENS_PER_REQUEST}")]
     MaxTokens,
-    /// The body's length is given in two ways.
+    /// The head specifies the body length in two ways.
     #[error("Content-Length and Transfer-Encoding exclude each other")]
     ConflictingLengths,
-    /// The configuration has no such model.
+    /// The model is not configured.
     #[error("the model \"{0}\" does not exist")]
     UnknownModel(String),
     /// The body was not accepted.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// The API has no such path.
+    /// The path does not exist.
     #[error("no such path: {0}")]
     UnknownPath(String),
-    /// The path takes another method, which is named.
+    /// The path requires the given method.
     #[error("this path takes {0}")]
     Method(&'static str),
     /// The client's identity is not allowed.
     #[error("the identity {0} may not use this service")]
     IdentityDenied(Rc<str>),
-    /// There is no capacity; the request has not run.
+    /// There is no capacity. The request has not been executed.
     #[error("the fleet cannot take this request now; trying again is harmless")]
     Rejected {
-        /// When the client should retry.
+        /// When the client should retry, in microseconds.
         retry_after: Option<Micros>,
     },
-    /// The request failed and may have run.
+    /// The request failed and may have been executed.
     #[error("the request failed and may have run; it must not be repeated automatically")]
     Failed,
 }
 
-/// What the public API says of an error besides its message.
+/// Representation of an error in the public API, without its message.
 struct ErrorKind {
     status: StatusCode,
-    /// The error object's `type`.
+    /// The `type` of the error object.
     name: &'static str,
     code: Option<&'static str>,
 }
@@ -90,17 +90,17 @@
         ErrorKind { status, name, code }
     }
 
-    /// The status that the client gets.
+    /// Returns the status sent to the client.
     pub(super) fn status(&self) -> StatusCode {
         self.kind().status
     }
 
-    /// Whether the client is at fault.
+    /// Returns whether the request itself was invalid.
     pub(super) fn is_invalid_request(&self) -> bool {
         !matches!(self, ChatError::Rejected { .. } | ChatError::Failed)
     }
 
-    /// The response that the client gets.
+    /// Builds the response sent to the client.
     pub(super) fn to_response(&self) -> ServerResponse {
         let kind = self.kind();
         let object = json!({
@@ -111,7 +111,7 @@
         if let ChatError::Rejected { retry_after } = self {
             set_retry_after(headers, *retry_after);
         } else {
-            // Without it public client libraries retry most statuses by themselves.
+            // Without this header, public client libraries automatically retry most error statuses.
             headers.insert(SHOULD_RETRY, HeaderValue::from_static("false"));
         }
         response
--- a/src/server/chat_api/mod.rs
+++ b/src/server/chat_api/mod.rs
@@ -1,4 +1,4 @@
-//! The public chat completions API, streamed or as one response.
+//! The public chat completions API, with streamed and unary responses.
 
 mod completion;
 mod error;
@@ -37,15 +37,15 @@
 const READY_PATH: &str = "/-/ready";
 const COUNTERS_PATH: &str = "/-/counters";
 
-/// The id under which the log has a request.
+/// The request ID used in the log.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 /// How often a public client library has retried a request.
 const RETRY_COUNT: HeaderName = HeaderName::from_static("x-stainless-retry-count");
 
-/// The owner in the list of models. Clients read it and may compare it, so it keeps the router's former name.
+/// Owner in the model list. Keeps the former name of the router, because clients read it and may compare it.
 const MODEL_OWNER: &str = "croftsill";
 
-/// The chat API, for one client or, without an identity, for all of them.
+/// The chat API for one client, or for all clients if identities are not verified.
 #[derive(Clone)]
 pub struct ChatApi {
     context: ApiContext,
@@ -70,8 +70,7 @@
 }
 
 impl ChatApi {
-    /// The API with this configuration; the seed makes the ids of its requests differ from those of other
-    /// replicas and other runs.
+    /// Creates the API. The seed makes its request IDs differ from those of other replicas and runs.
     pub fn new(
         routing: RoutingContext, config: Rc<ChatConfig>, limiter: Rc<ConnectionLimiter>, shutdown: Shutdown,
         seed: u64,
@@ -85,7 +84,7 @@
         }
     }
 
-    /// The same API for a client with this identity.
+    /// Returns the same API for a client with this identity.
     pub fn for_peer(&self, peer: ClientIdentity) -> Self {
         ChatApi { peer, ..self.clone() }
     }
@@ -113,7 +112,7 @@
         json_response(StatusCode::OK, &json!({"object": "list", "data": models}))
     }
 
-    /// The response to a request that was not routed; one that was invalid is counted and logged.
+    /// Builds the response to a request that was not routed. Invalid requests are counted and logged.
     fn error_response(&self, error: &ChatError) -> ServerResponse {
         if error.is_invalid_request() {
             self.context.counters().malformed.increment();
@@ -148,7 +147,7 @@
         let payload = payload(&request, id.clone(), body.bytes)?;
         let is_unary = spec.unary;
         let admitted = AdmittedRequest { spec, payload, allocation: body.allocation, guard: () };
-        // No answer means that the request's task has ended without one.
+        // The channel closes without a value if the request task ended without a response.
         let routed = self.context.start_request(admitted).await.unwrap_or(RoutedResponse::Failed);
         let mut response = routed_response(routed, is_unary).await;
         if let Ok(id) = HeaderValue::from_str(&id) {
@@ -158,13 +157,13 @@
     }
 }
 
-/// How often the client has retried this request; 0 where it does not say.
+/// Returns how often the client has retried this request; 0 if it does not say.
 fn retry_count(headers: &HeaderMap) -> u32 {
     let count = headers.get(RETRY_COUNT).and_then(|value| value.to_str().ok()?.parse().ok());
     count.unwrap_or(0)
 }
 
-/// What endpoints are sent of a request.
+/// Builds the payload sent to endpoints.
 fn payload(request: &Request<Incoming>, id: Rc<str>, body: Bytes) -> Result<RequestPayload, ChatError> {
     let target = request.uri().path_and_query().cloned();
     let target = target.ok_or_else(|| ChatError::UnknownPath(String::new()))?;
@@ -173,13 +172,13 @@
     Ok(RequestPayload { id, target, content_type, idempotency_key, body })
 }
 
-/// The response to a request that was routed.
+/// Builds the response to a routed request.
 async fn routed_response(routed: RoutedResponse, is_unary: bool) -> ServerResponse {
     match routed {
         RoutedResponse::Body { kind, chunks } if !is_unary && kind.is_event_stream() => {
             stream_response(kind.content_type, chunks)
         }
-        // A client must not see the head of a single response before all of it has arrived.
+        // The head of a unary response is sent only after all of the body has arrived.
         RoutedResponse::Body { kind, chunks } => match StreamBody::new(chunks).collect().await {
             Ok(body) => complete_response(kind.status, kind.content_type, body),
             Err(_) => ChatError::Failed.to_response(),
--- a/src/server/chat_api/request_ids.rs
+++ b/src/server/chat_api/request_ids.rs
@@ -1,11 +1,12 @@
-//! The ids that the chat API gives to its requests.
+//! Request IDs assigned by the chat API.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Makes ids that differ within this process and, by the seed, most likely from those of others.
+/// Generates IDs that are unique within this process and, because of the seed, very likely unique across
+/// processes.
 pub(super) struct RequestIds {
     seed: u64,
     next_number: Cell<u64>,
@@ -16,7 +17,7 @@
         RequestIds { seed, next_number: Cell::new(0) }
     }
 
-    /// A new id: 16 hexadecimal digits.
+    /// Returns a new ID of 16 hexadecimal digits.
     pub(super) fn next(&self) -> Rc<str> {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
--- a/src/server/client_stream.rs
+++ b/src/server/client_stream.rs
@@ -1,4 +1,5 @@
-//! A client's byte stream: reports its traffic to the connection's state and detects the client's close.
+//! The byte stream of a client connection: reports traffic to the connection state and detects when the
+//! client closes.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -16,20 +17,20 @@
 
 use super::connection_state::ClientState;
 
-/// Longest time that a connection is kept after its last response for its client to close it: a close over
-/// unread bytes would reset it, and the client would lose the response.
+/// Maximum time to wait for the client to close the connection after the last response. Closing a socket that
+/// has unread bytes resets the connection, and the client would lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between checks for the client's close while bytes are left unread: the socket stays readable all the
-/// while.
+/// Interval between checks for a client close while unread bytes keep the socket readable.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Pause between reads of bytes that are discarded, so that a client that floods does not use up the CPU.
+/// Pause between reads of discarded bytes, so that a client that floods the connection does not use up the
+/// CPU.
 const DISCARD_INTERVAL: Duration = Duration::from_millis(1);
-/// Bytes discarded with one read.
+/// Number of bytes discarded per read.
 const DISCARD_BUFFER_SIZE: usize = 32 * 1024;
 
-/// A byte stream that shows its client's close without consuming unread bytes.
+/// A byte stream that can detect a client close without consuming unread bytes.
 pub trait ClientIo: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// Waits until the client has closed its side, as far as the stream shows that.
+    /// Waits until the client has closed its side, as far as the stream can detect this.
     fn client_closed(&mut self) -> impl Future<Output = ()>;
 }
 
@@ -52,24 +53,24 @@
 }
 
 impl ClientIo for DuplexStream {
-    /// A pipe in memory shows its close only behind its last byte, so unread bytes are consumed.
+    /// An in-memory pipe reports a close only after its last byte, so unread bytes are consumed.
     async fn client_closed(&mut self) {
         let mut scratch = [0; 1_024];
         while self.read(&mut scratch).await.is_ok_and(|read| read > 0) {}
     }
 }
 
-/// What a read of bytes that are discarded came to.
+/// Result of a read whose bytes are discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Discarded {
-    /// Some bytes.
+    /// At least one byte was read.
     Bytes,
-    /// The end of the stream, or its failure.
+    /// The stream ended or failed.
     End,
 }
 
-/// A client's byte stream, which reports its traffic to the connection's state. Its second handle outlives
-/// the HTTP library's use of the first.
+/// The byte stream of a client connection, which reports its traffic to the connection state. A second handle
+/// remains usable after the HTTP library has dropped the first one.
 pub struct ClientStream<I> {
     io: Rc<RefCell<I>>,
     state: Rc<ClientState>,
@@ -81,14 +82,14 @@
         ClientStream { io: Rc::new(RefCell::new(io)), state }
     }
 
-    /// A second handle to the same stream.
+    /// Returns a second handle to the same stream.
     pub fn handle(&self) -> Self {
         ClientStream { io: self.io.clone(), state: self.state.clone() }
     }
 
-    /// Waits for the client's close behind bytes that it sent beyond its open request. The HTTP library stops
-    /// reading there, so it would not see the close; the connection ends with the response, so the bytes are
-    /// discarded.
+    /// Waits for the client to close the connection after sending more bytes than its current request has.
+    /// The HTTP library stops reading at the end of the request and would not detect the close. The
+    /// connection is closed after the response anyway, so the excess bytes are discarded.
     pub async fn closed_behind_request(&self) {
         let discard_excess = |cx: &mut Context<'_>| {
             if self.state.has_bytes_beyond_request() { self.poll_discard(cx) } else { Poll::Pending }
@@ -98,9 +99,9 @@
         }
     }
 
-    /// Shuts the sending side down and waits until the client closes, the connection is evicted or a timeout
-    /// passes. Nothing more is read: a request that crosses the shutdown gets no response, so its client has
-    /// to see that it was never received. This has to be the last handle.
+    /// Shuts down the write side and waits until the client closes, the connection is evicted or a timeout
+    /// expires. Nothing more is read: a request that arrives during the shutdown gets no response, so its
+    /// client must be able to tell that it was never received. Must be called on the last remaining handle.
     pub async fn linger(self) {
         self.state.linger();
         let Some(io) = Rc::into_inner(self.io) else { return };
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Reads and discards what came.
+    /// Reads and discards available bytes.
     fn poll_discard(&self, cx: &mut Context<'_>) -> Poll<Discarded> {
         let mut scratch = [MaybeUninit::uninit(); DISCARD_BUFFER_SIZE];
         let mut buffer = ReadBuf::uninit(&mut scratch);
@@ -153,7 +154,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The HTTP library flushes the stream only once its own buffer is empty.
+        // The HTTP library flushes the stream only when its own buffer is empty.
         let flushed = ready!(Pin::new(&mut *self.io.borrow_mut()).poll_flush(cx));
         if flushed.is_ok() {
             self.state.output_flushed();
--- a/src/server/close_reason.rs
+++ b/src/server/close_reason.rs
@@ -1,37 +1,38 @@
-//! Closing a client's connection: the one place that decides when that may be, and the reasons that are
-//! logged and counted for each close.
+//! Rules for when a client connection may be evicted, and the reasons under which closes are logged and
+//! counted.
 
 use std::time::Duration;
 
 use super::connection_state::ConnectionStage;
 use crate::metrics::{Counter, Counters};
 
-/// Least age at which a connection without any bytes may be evicted: its first bytes may be on their way.
+/// Minimum age of a connection without any received bytes before it may be evicted; its first bytes may be in
+/// transit.
 const MIN_SILENT_AGE: Duration = Duration::from_millis(250);
-/// Least time since its head could have begun after which a connection with a part of a head may be evicted:
-/// a client sends a head in one go, so one that takes this long is slow or stalled.
+/// Minimum time that a client must have had for an incomplete head before its connection may be evicted.
+/// Clients send a head in one write, so one that takes longer is slow or stalled.
 const MIN_PARTIAL_HEAD_AGE: Duration = Duration::from_millis(1_000);
-/// Least time after its last response after which a connection may be evicted: the client may still be
-/// reading that response, which a close over unread bytes would destroy.
+/// Minimum time after the last response before a connection may be evicted. The client may still be reading
+/// the response, which would be lost if the connection were closed with unread bytes.
 const MIN_LINGERING_AGE: Duration = Duration::from_millis(250);
 
-/// Why a client's connection is closed. The log has the variants by their names.
+/// Why a client connection is closed. The log shows the variant names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its client closed or broke it, or it has had its last response.
+    /// The client closed or reset the connection, or the last response was sent.
     Ended,
-    /// Its client closed it behind bytes that are never read.
+    /// The client closed the connection after bytes that are never read.
     ClosedBehindRequest,
-    /// It was idle for too long.
+    /// The idle timeout expired.
     Idle,
-    /// A request's head took too long.
+    /// The request head did not arrive in time.
     SlowHead,
-    /// It was evicted for another connection.
+    /// The connection was evicted in favor of another one.
     Room,
 }
 
 impl CloseReason {
-    /// The reason for the close of a connection whose deadline passed in this stage.
+    /// Returns the reason for closing a connection whose deadline expired in this stage.
     pub fn overdue(stage: ConnectionStage) -> Self {
         match stage {
             ConnectionStage::Silent | ConnectionStage::Idle => CloseReason::Idle,
@@ -39,14 +40,14 @@
         }
     }
 
-    /// Whether the connection is closed without lingering. That is safe where nothing that is owed a response
-    /// has been read and no response is on its way: a request that crosses the close stays unread, and its
-    /// client sees that.
+    /// Returns whether the connection is closed without lingering. This is safe if no request that was read
+    /// still needs a response and no response is being written: a request that arrives during the close stays
+    /// unread, and its client can detect that.
     pub fn is_immediate(self) -> bool {
         matches!(self, CloseReason::Idle | CloseReason::Room)
     }
 
-    /// The counter of such closes.
+    /// Returns the counter for this reason.
     pub fn counter(self, counters: &Counters) -> &Counter {
         match self {
             CloseReason::Ended => &counters.closes_ended,
@@ -57,14 +58,14 @@
         }
     }
 
-    /// Counts and logs the close of the connection with this number.
+    /// Counts and logs the close of a connection.
     pub fn record(self, counters: &Counters, connection: u64, stage: ConnectionStage) {
         self.counter(counters).increment();
         tracing::debug!(connection, %stage, reason = ?self, "client connection closed");
     }
 }
 
-/// Whether a connection whose client has used so much time in this stage may be evicted for another one.
+/// Returns whether a connection may be evicted, given its stage and the time that its client has used.
 pub fn may_be_evicted(stage: ConnectionStage, time_used: Duration) -> bool {
     match stage {
         ConnectionStage::Idle => true,
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, from its acceptance to its close.
+//! Serving a client connection from accept to close.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -18,15 +18,16 @@
 use super::response::set_connection_close;
 use crate::shutdown::{CONNECT_GRACE, Shutdown, ShutdownGuard};
 
-/// What an open connection keeps until its end.
+/// Resources held by an open connection until it is closed.
 pub struct ConnectionGuard {
-    /// Its share of the connection limit.
+    /// The connection's slot in the connection limit.
     pub slot: ConnectionSlot,
-    /// Keeps the process from ending before it.
+    /// Delays the exit of the process until the connection is closed.
     pub shutdown: ShutdownGuard,
 }
 
-/// Serves a connection until its client closes it, its deadline passes, it is evicted or the process ends.
+/// Serves a connection until the client closes it, its deadline expires, it is evicted or the process shuts
+/// down.
 pub async fn serve_connection(
     io: impl ClientIo, handler: impl RequestHandler, shutdown: Shutdown, guard: ConnectionGuard,
 ) {
@@ -38,7 +39,7 @@
     let service = service_fn(move |request| answer_request(handler.clone(), service_client.clone(), request));
     let http =
         http1::Builder::new().max_buf_size(MAX_HEAD_SIZE).serve_connection(TokioIo::new(stream), service);
-    // Boxed, so that it can be dropped before the lingering close.
+    // Boxed so that it can be dropped before lingering.
     let mut http = Box::pin(http);
     let mut drained = Box::pin(ready_to_drain(&shutdown, &client));
     let mut deadline = Box::pin(client.deadline_passed());
@@ -47,9 +48,10 @@
     let reason = loop {
         tokio::select! {
             biased;
-            // First: a request that crosses the eviction must not be started and then dropped.
+            // Checked first, so that a request that arrives during the eviction is not started and then
+            // dropped.
             () = client.evicted() => break CloseReason::Room,
-            // The request's own task reports a client that disconnects and a stream that breaks.
+            // Client disconnects and broken streams are reported by the task of the request.
             finished = &mut http => {
                 if let Err(error) = finished {
                     tracing::debug!(connection = guard.slot.number, %error, "client connection failed");
@@ -70,13 +72,14 @@
     }
     drop(http);
     drop(closed_behind_request);
-    // The guard is kept until the client has closed: the end of the process would reset what it has not read.
+    // The guard is held until the client has closed: if the process exited earlier, the connection would be
+    // reset and the client would lose bytes that it has not read.
     remaining_stream.linger().await;
     drop(guard);
 }
 
-/// Answers one request. The handler learns how it arrived, and a connection that cannot be kept is closed
-/// behind the response.
+/// Handles one request. The request carries its [`RequestArrival`](super::connection_state::RequestArrival)
+/// as an extension, and a connection that cannot be reused is closed after the response.
 async fn answer_request(
     handler: impl RequestHandler, client: Rc<ClientState>, mut request: Request<Incoming>,
 ) -> Result<ServerResponse, Infallible> {
@@ -93,7 +96,7 @@
     Ok(response)
 }
 
-/// The verdict on a request that was answered with this status.
+/// Classifies a request by the status of its response.
 fn verdict(status: StatusCode) -> RequestVerdict {
     if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
         RequestVerdict::Invalid
@@ -102,8 +105,8 @@
     }
 }
 
-/// Waits until the process ends and no request is on its way: at a graceful shutdown the HTTP library closes
-/// a connection that waits for a request at once, even with a part of a head read.
+/// Waits until the process shuts down and no request is arriving. On a graceful shutdown, the HTTP library
+/// immediately closes a connection that is waiting for a request, even if part of a head has been read.
 async fn ready_to_drain(shutdown: &Shutdown, client: &ClientState) {
     shutdown.wait_begun().await;
     client.no_request_arriving(CONNECT_GRACE).await;
--- a/src/server/connection_limits.rs
+++ b/src/server/connection_limits.rs
@@ -1,4 +1,4 @@
-//! The limits on what clients bring: how many connections, and how many bytes of bodies.
+//! Limits on the number of client connections and on the memory used by request bodies.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,13 +11,13 @@
 use super::close_reason::may_be_evicted;
 use super::connection_state::ClientState;
 
-/// Connections past the limit that are still accepted, so that their clients get a 429 instead of silence.
+/// Connections accepted beyond the limit, so that their clients get a 429 instead of no response.
 const MAX_EXCESS_CONNECTIONS: usize = 16;
-/// Pause between searches for a connection to evict while none may be: one may have become idle without
-/// notice.
+/// Interval between searches for a connection to evict while none is eligible. A connection that becomes idle
+/// does not notify the limiter.
 const EVICTION_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Counts clients' connections and the bytes of their bodies against the limits.
+/// Tracks client connections and request body bytes against their limits.
 pub struct ConnectionLimiter {
     connections: RefCell<BTreeMap<u64, Rc<ClientState>>>,
     next_number: Cell<u64>,
@@ -27,12 +27,12 @@
     max_body_bytes: usize,
 }
 
-/// One connection's share of the connection limit, released when dropped.
+/// A connection's slot in the connection limit, released on drop.
 pub struct ConnectionSlot {
     limiter: Rc<ConnectionLimiter>,
-    /// The connection's number since the start of the process, for the log.
+    /// Sequence number of the connection within this process, used in the log.
     pub number: u64,
-    /// The connection's state.
+    /// The state of the connection.
     pub client: Rc<ClientState>,
 }
 
@@ -43,19 +43,19 @@
     }
 }
 
-/// One body's share of the limit on bytes, released when dropped.
+/// Memory accounted to one request body, released on drop.
 pub struct BodyAllocation {
     limiter: Rc<ConnectionLimiter>,
     bytes: usize,
 }
 
 impl BodyAllocation {
-    /// An allocation of no bytes.
+    /// Creates an empty allocation.
     pub fn new(limiter: Rc<ConnectionLimiter>) -> Self {
         BodyAllocation { limiter, bytes: 0 }
     }
 
-    /// Grows by so many bytes; false, and nothing changes, where they would exceed the limit.
+    /// Grows the allocation by `bytes`. Returns false and allocates nothing if this would exceed the limit.
     pub fn try_grow(&mut self, bytes: usize) -> bool {
         let total = self.limiter.body_bytes.get() + bytes;
         if total > self.limiter.max_body_bytes {
@@ -74,7 +74,7 @@
 }
 
 impl ConnectionLimiter {
-    /// Limits to so many connections and so many bytes of bodies.
+    /// Creates a limiter with these limits.
     pub fn new(max_connections: usize, max_body_bytes: usize) -> Rc<Self> {
         Rc::new(ConnectionLimiter {
             connections: RefCell::default(),
@@ -86,12 +86,12 @@
         })
     }
 
-    /// Whether more clients are connected than are served.
+    /// Returns whether more clients are connected than the limit allows.
     pub fn over_limit(&self) -> bool {
         self.connections.borrow().len() > self.max_connections
     }
 
-    /// Registers an accepted connection. At the limit another one is evicted for it, where one may be.
+    /// Registers an accepted connection. At the limit, another connection is evicted if one is eligible.
     pub fn register(self: &Rc<Self>) -> ConnectionSlot {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -103,12 +103,12 @@
         ConnectionSlot { limiter: self.clone(), number, client }
     }
 
-    /// Whether no more connections can be accepted, not even to be answered with a 429.
+    /// Returns whether no further connection can be accepted, not even to be answered with a 429.
     pub fn is_full(&self) -> bool {
         self.connections.borrow().len() >= self.max_connections + MAX_EXCESS_CONNECTIONS
     }
 
-    /// Waits until one more connection can be accepted, if only to be answered with a 429.
+    /// Waits until another connection can be accepted, possibly only to be answered with a 429.
     pub async fn wait_for_capacity(&self) {
         while self.is_full() {
             self.evict_one();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Evicts, of the connections that may be, the first by stage and time.
+    /// Evicts the eligible connection that is first in eviction order.
     fn evict_one(&self) {
         let connections = self.connections.borrow();
         let candidates =
--- a/src/server/connection_state.rs
+++ b/src/server/connection_state.rs
@@ -1,5 +1,4 @@
-//! The state of a client's connection: its stage, the time that bounds it, and how its requests are
-//! delimited.
+//! State of a client connection: its stage, the deadline of the stage, and request framing.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Display, Formatter};
@@ -15,21 +14,21 @@
 
 use super::head_scanner::HeadScanner;
 
-/// Largest head of a request, in bytes; it is the size of the HTTP library's buffer, which rejects longer
-/// ones.
+/// Maximum size of a request head in bytes. This is the buffer size of the HTTP library, which rejects larger
+/// heads.
 pub(super) const MAX_HEAD_SIZE: usize = 32 * 1024;
 
-/// Time for a client to send a head, or to stay idle between requests. A connection without an open
-/// request may be closed after 2 s, and must be within 3 s where its client sends nothing.
+/// Time for a client to send a head, and the idle timeout between requests. A connection without an open
+/// request may be closed after 2 s, and must be closed within 3 s if its client sends nothing.
 pub(super) const HEAD_TIMEOUT: Duration = Duration::from_millis(2_100);
-/// Least time that a head gets from its first byte on, however long its client sent nothing before: enough
-/// for a head that crosses the timeout, and short enough for a close within the 3 s.
+/// Minimum time for a head from its first byte, regardless of how long the client was idle before. Long
+/// enough for a head that arrives just before the timeout, and short enough to close within 3 s.
 const MIN_HEAD_TIME: Duration = Duration::from_millis(300);
-/// Rejected requests (4xx other than 429) after which a connection is closed: its client is broken or
-/// hostile.
+/// Number of rejected requests (4xx other than 429) after which a connection is closed, as its client is
+/// broken or hostile.
 const MAX_REJECTED_REQUESTS: u32 = 8;
 
-/// The stage of a client's connection, in the order in which connections are evicted.
+/// Stage of a client connection. Connections are evicted in the order of the variants.
 ///
 /// ```text
 /// Silent --first byte--> ReadingHead --head parsed--> InRequest --response produced--> Flushing
@@ -37,24 +36,24 @@
 ///                             +------first byte-------- Idle <--------response written---+
 /// ```
 ///
-/// `Lingering` follows on any of them once the HTTP library is done with the connection.
+/// Any stage changes to `Lingering` when the HTTP library has finished with the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionStage {
-    /// It has had its last response and is kept until its client closes it.
+    /// The last response was sent and the client has not closed the connection yet.
     Lingering,
-    /// No byte has come yet.
+    /// No byte has been received yet.
     Silent,
-    /// All its requests are answered.
+    /// All requests have been answered.
     Idle,
-    /// A part of a head has come.
+    /// Part of a head has been received.
     ReadingHead,
-    /// A request is open.
+    /// A request is being processed.
     InRequest,
-    /// The response is complete, but may not have been written out.
+    /// The response is complete but may not be fully written.
     Flushing,
 }
 
-/// The words that the log has for the stages; operators search for these.
+/// The stage names in the log, which operators search for.
 impl Display for ConnectionStage {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -68,24 +67,24 @@
     }
 }
 
-/// A stage with the moments that bound it.
+/// A stage and the times that determine its deadline.
 #[derive(Clone, Copy, Debug)]
 struct StageEntry {
     stage: ConnectionStage,
-    /// Since when the client's time runs: from when it could have begun to send its request, or the stage's
-    /// begin.
+    /// When the client's time started to run: when it could have started to send its request, or when the
+    /// stage was entered.
     clock_started: Instant,
     entered: Instant,
 }
 
 impl StageEntry {
-    /// A stage that begins now, as does the client's time for it.
+    /// Creates an entry for a stage that begins now and restarts the client's time.
     fn now(stage: ConnectionStage) -> Self {
         let now = Instant::now();
         StageEntry { stage, clock_started: now, entered: now }
     }
 
-    /// When a client that has not sent a complete head is disconnected.
+    /// Returns when a client that has not sent a complete head is disconnected.
     fn deadline(&self) -> Option<Instant> {
         let head_deadline = self.clock_started + HEAD_TIMEOUT;
         match self.stage {
@@ -96,26 +95,27 @@
     }
 }
 
-/// How a request arrived; an extension of each request that a handler gets.
+/// How a request arrived. Set as an extension on every request passed to a handler.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestArrival {
-    /// When the client could have begun to send it.
+    /// Earliest time at which the client could have started to send the request.
     pub can_send_since: Instant,
-    /// Its head gave the body's length in two ways; a part of the body may be meant as another request.
+    /// Whether the head specified the body length in two ways. Part of the body may be intended as another
+    /// request (request smuggling).
     pub conflicting_lengths: bool,
 }
 
-/// How a request's body is delimited.
+/// Framing of a request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
-    /// By `Content-Length`, in bytes; 0 without one.
+    /// `Content-Length` in bytes, or 0 if the header is absent.
     Known(u64),
-    /// By its chunks.
+    /// Chunked transfer encoding.
     Chunked,
 }
 
 impl BodyLength {
-    /// As a request's head says.
+    /// Returns the framing specified by a request head.
     pub fn of<B>(request: &Request<B>) -> Self {
         let headers = request.headers();
         if headers.contains_key(TRANSFER_ENCODING) {
@@ -126,37 +126,37 @@
     }
 }
 
-/// Whether a request was valid, as far as the connection counts it.
+/// Whether a request counts as rejected for its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestVerdict {
-    /// It was answered, or rejected for want of capacity.
+    /// Answered, or rejected for lack of capacity.
     Valid,
-    /// It was rejected for its form.
+    /// Rejected as invalid.
     Invalid,
 }
 
-/// Whether a connection can take another request.
+/// Whether a connection can be reused for another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persistence {
-    /// It can.
+    /// The connection stays open.
     KeepAlive,
-    /// It must be closed behind the response.
+    /// The connection is closed after the response.
     Close,
 }
 
-/// The state of one client's connection. Its task, its byte stream, its response bodies and the connection
-/// limiter share it; each change of stage is one method here.
+/// State of one client connection, shared by its task, its byte stream, its response bodies and the
+/// connection limiter. Each stage transition is one method.
 pub struct ClientState {
     stage: watch::Sender<StageEntry>,
     scanner: RefCell<HeadScanner>,
-    /// The length of the open request's body; none between requests.
+    /// Framing of the current request's body; `None` between requests.
     body_length: Cell<Option<BodyLength>>,
     rejected_requests: Cell<u32>,
     eviction: Notify,
 }
 
 impl ClientState {
-    /// The state of a connection that has just been accepted.
+    /// Creates the state of a newly accepted connection.
     pub fn new() -> Rc<Self> {
         Rc::new(ClientState {
             stage: watch::Sender::new(StageEntry::now(ConnectionStage::Silent)),
@@ -167,28 +167,28 @@
         })
     }
 
-    /// The stage.
+    /// Returns the current stage.
     pub fn stage(&self) -> ConnectionStage {
         self.stage.borrow().stage
     }
 
-    /// How much time the client has used for what it does in this stage.
+    /// Returns how much time the client has used in this stage.
     pub fn time_used(&self) -> Duration {
         self.stage.borrow().clock_started.elapsed()
     }
 
-    /// The key by which connections are evicted, lowest first.
+    /// Returns the eviction sort key. The lowest one is evicted first.
     pub fn eviction_order(&self) -> (ConnectionStage, Instant) {
         let entry = *self.stage.borrow();
         (entry.stage, entry.clock_started)
     }
 
-    /// Enters a stage; the client's time for it starts now.
+    /// Enters a stage and restarts the client's time.
     fn enter(&self, stage: ConnectionStage) {
         self.stage.send_replace(StageEntry::now(stage));
     }
 
-    /// Enters a stage in which the client's time of the stage before goes on.
+    /// Enters a stage without restarting the client's time.
     fn enter_keeping_clock(&self, stage: ConnectionStage) {
         self.stage.send_modify(|entry| {
             entry.stage = stage;
@@ -196,22 +196,22 @@
         });
     }
 
-    /// Bytes were read. `Silent` and `Idle` become `ReadingHead` with the first byte of a head.
+    /// Records received bytes. The first byte of a head changes `Silent` and `Idle` to `ReadingHead`.
     pub fn bytes_received(&self, bytes: &[u8]) {
         let head_begins = self.scanner.borrow_mut().receive(bytes);
         if !head_begins {
             return;
         }
         match self.stage() {
-            // The time for a first request runs since the connection was accepted.
+            // The time for the first request starts when the connection is accepted.
             ConnectionStage::Silent => self.enter_keeping_clock(ConnectionStage::ReadingHead),
             ConnectionStage::Idle => self.enter(ConnectionStage::ReadingHead),
             _ => {}
         }
     }
 
-    /// The HTTP library has parsed a request's head: the stage becomes `InRequest`, in which no deadline runs
-    /// and the connection is not evicted.
+    /// Records that the HTTP library has parsed a request head. Enters `InRequest`, in which no deadline
+    /// applies and the connection is not evicted.
     pub fn request_started(&self, request: &Request<Incoming>) -> RequestArrival {
         let can_send_since = self.stage.borrow().clock_started;
         self.enter(ConnectionStage::InRequest);
@@ -223,8 +223,8 @@
         RequestArrival { can_send_since, conflicting_lengths }
     }
 
-    /// Whether more bytes have come than the open request has. The HTTP library reads past that only once it
-    /// is answered.
+    /// Returns whether more bytes were received than belong to the current request. The HTTP library does not
+    /// read past the request until it is answered.
     pub fn has_bytes_beyond_request(&self) -> bool {
         match self.body_length.get() {
             Some(BodyLength::Known(length)) => self.scanner.borrow().bytes_behind() > length,
@@ -232,9 +232,10 @@
         }
     }
 
-    /// The open request has its response, or the head of it; the stage changes only with the response's end.
-    /// The connection is not kept where more or fewer bytes came than the request has, as the begin of the
-    /// next one would be unknown, and behind too many rejected requests.
+    /// Records that the current request has a response, or at least the head of one; the stage changes only
+    /// when the response is complete. The connection is not reused unless the number of received bytes is
+    /// known to match the length of the request, as the start of the next request would be unknown otherwise,
+    /// nor after too many rejected requests.
     pub fn request_answered(&self, verdict: RequestVerdict) -> Persistence {
         if verdict == RequestVerdict::Invalid {
             self.rejected_requests.set(self.rejected_requests.get() + 1);
@@ -250,15 +251,15 @@
         }
     }
 
-    /// The response is complete and has still to be written out: `InRequest` becomes `Flushing`.
+    /// Records that the response is complete but not yet written. Changes `InRequest` to `Flushing`.
     pub fn response_complete(&self) {
         if self.stage() == ConnectionStage::InRequest {
             self.enter(ConnectionStage::Flushing);
         }
     }
 
-    /// All that was to be written is written: `Flushing` becomes `Idle`, or `ReadingHead` where the next
-    /// request has begun behind the last one.
+    /// Records that all pending output is written. Changes `Flushing` to `Idle`, or to `ReadingHead` if the
+    /// next request has started to arrive.
     pub fn output_flushed(&self) {
         if self.stage() != ConnectionStage::Flushing {
             return;
@@ -270,12 +271,14 @@
         }
     }
 
-    /// The HTTP library is done with the connection, which waits for its client's close.
+    /// Records that the HTTP library has finished with the connection, which now waits for the client to
+    /// close.
     pub fn linger(&self) {
         self.enter(ConnectionStage::Lingering);
     }
 
-    /// Evicts the connection for another one. The stage becomes `InRequest`, so that it is not chosen again.
+    /// Evicts the connection in favor of another one. Enters `InRequest`, so that the connection is not
+    /// selected again.
     pub fn evict(&self) {
         self.enter(ConnectionStage::InRequest);
         self.eviction.notify_one();
@@ -286,7 +289,7 @@
         self.eviction.notified().await;
     }
 
-    /// Waits until the client has been idle for too long, or takes too long for a head.
+    /// Waits until the client exceeds the idle timeout or the time for a head.
     pub async fn deadline_passed(&self) {
         let mut entries = self.stage.subscribe();
         loop {
@@ -299,15 +302,15 @@
             };
             tokio::select! {
                 biased;
-                // First: bytes that have come count, also at the last moment.
+                // Checked first, so that bytes received at the last moment still count.
                 _ = entries.changed() => {}
                 () = passed => return,
             }
         }
     }
 
-    /// Waits until no request is on its way: no head is incomplete, and a connection without any bytes has
-    /// had `first_byte_grace` to send some.
+    /// Waits until no request is arriving: no head is incomplete, and a connection without any received bytes
+    /// has had `first_byte_grace` to send some.
     pub async fn no_request_arriving(&self, first_byte_grace: Duration) {
         let mut entries = self.stage.subscribe();
         let first_byte = entries.wait_for(|entry| entry.stage != ConnectionStage::Silent);
--- a/src/server/handler.rs
+++ b/src/server/handler.rs
@@ -1,4 +1,4 @@
-//! The interface between a client's connection and the API that answers its requests.
+//! Interface between a client connection and the API that handles its requests.
 
 use std::rc::Rc;
 
@@ -10,14 +10,14 @@
 use super::stream_body::StreamBody;
 use crate::metrics::Counters;
 
-/// An API's response: complete, or a stream.
+/// The response of an API, with a complete or a streamed body.
 pub type ServerResponse = Response<Either<Full<Bytes>, StreamBody>>;
 
-/// Answers the requests of one connection in an API's own protocol.
+/// Handles the requests of one connection in the protocol of an API.
 pub trait RequestHandler: Clone + 'static {
-    /// The metrics of this API.
+    /// Returns the metrics of this API.
     fn counters(&self) -> Rc<Counters>;
 
-    /// Answers one request. The future is dropped when the client disconnects.
+    /// Handles one request. The future is dropped when the client disconnects.
     fn handle(self, request: Request<Incoming>) -> impl Future<Output = ServerResponse>;
 }
--- a/src/server/head_scanner.rs
+++ b/src/server/head_scanner.rs
@@ -1,40 +1,42 @@
-//! Finds the end of each request's head in a connection's bytes and counts the bytes behind it.
+//! Finds the end of each request head in the byte stream of a connection and counts the bytes after it.
 //!
-//! The HTTP library shows a head only after parsing, where one of two contradicting headers is already gone,
-//! and not how many bytes came behind it. Both are needed here, so the bytes are followed beside it.
+//! The HTTP library exposes a head only after parsing, when one of two conflicting length headers has already
+//! been removed, and does not report how many bytes follow it. The scanner therefore inspects the same bytes
+//! in parallel.
 
 use std::mem;
 
 use super::connection_state::MAX_HEAD_SIZE;
 
-/// Bytes kept of a head without an end; the library has rejected it long before.
+/// Maximum number of bytes kept of an unterminated head. The HTTP library rejects such a head long before.
 const MAX_KEPT_HEAD: usize = 2 * MAX_HEAD_SIZE;
 
-/// Where in a request the bytes of a connection stand, with what is kept of them.
+/// Position of a byte stream relative to the current request head, with the bytes kept of that head.
 pub(super) enum HeadScanner {
-    /// In front of or within a head, with its bytes so far.
+    /// Before or within a head.
     InHead {
-        /// The head's bytes as they came; empty before the first one.
+        /// Head bytes received so far; empty before the first one.
         head: Vec<u8>,
     },
-    /// Behind a head.
+    /// After a head.
     PastHead {
-        /// The head; empty once it was taken.
+        /// The head; empty after it was taken.
         head: Vec<u8>,
-        /// Bytes that came behind it: the open request's body, and whatever follows.
+        /// Number of bytes received after the head: the body of the current request and anything that
+        /// follows.
         bytes_behind: u64,
     },
 }
 
-/// A request's head as its client sent it.
+/// A request head as sent by the client.
 pub(super) struct RawHead {
     bytes: Vec<u8>,
-    /// Whether its end was found; otherwise it may have headers that are not in `bytes`.
+    /// Whether the end of the head was found. If not, it may have headers that are not in `bytes`.
     pub(super) is_complete: bool,
 }
 
 impl RawHead {
-    /// Whether one of its lines is a header of this name.
+    /// Returns whether the head has a header with this name.
     pub(super) fn has_header(&self, name: &str) -> bool {
         let mut line_names = self
             .bytes
@@ -45,12 +47,12 @@
 }
 
 impl HeadScanner {
-    /// In front of a connection's first head.
+    /// Creates a scanner positioned before the first head of a connection.
     pub(super) fn new() -> Self {
         HeadScanner::InHead { head: Vec::new() }
     }
 
-    /// Follows received bytes; true if a head begins with them.
+    /// Processes received bytes. Returns whether they start a new head.
     pub(super) fn receive(&mut self, bytes: &[u8]) -> bool {
         let head = match self {
             HeadScanner::PastHead { bytes_behind, .. } => {
@@ -64,7 +66,7 @@
         if begins && head_bytes.is_empty() {
             return false;
         }
-        // An end may lie across the bytes that came before and these.
+        // The terminator may span the previous bytes and these.
         let search_from = head.len().saturating_sub(3);
         head.extend_from_slice(head_bytes);
         if let Some(end) = find_head_end(head, search_from) {
@@ -77,7 +79,7 @@
         begins
     }
 
-    /// Takes the head of the request that the library has parsed.
+    /// Takes the head of the request that the HTTP library has parsed.
     pub(super) fn take_head(&mut self) -> RawHead {
         match self {
             HeadScanner::InHead { head } => RawHead { bytes: mem::take(head), is_complete: false },
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Bytes that have come behind the head.
+    /// Returns the number of bytes received after the head.
     pub(super) fn bytes_behind(&self) -> u64 {
         match self {
             HeadScanner::InHead { .. } => 0,
@@ -93,15 +95,15 @@
         }
     }
 
-    /// Goes on to the next request's head, of which nothing may have come yet: a connection with bytes beyond
-    /// its request is closed.
+    /// Moves on to the next request head. None of its bytes can have been received, because a connection with
+    /// excess bytes is closed.
     pub(super) fn next_request(&mut self) {
         if let HeadScanner::PastHead { head, .. } = self {
             *self = HeadScanner::InHead { head: mem::take(head) };
         }
     }
 
-    /// Whether no byte of a head is kept.
+    /// Returns whether no head bytes are stored.
     pub(super) fn is_empty(&self) -> bool {
         match self {
             HeadScanner::InHead { head } | HeadScanner::PastHead { head, .. } => head.is_empty(),
@@ -109,13 +111,13 @@
     }
 }
 
-/// Without the empty lines that a client may send in front of a request.
+/// Strips the empty lines that a client may send before a request.
 fn skip_empty_lines(bytes: &[u8]) -> &[u8] {
     let begin = bytes.iter().position(|byte| !matches!(byte, b'\r' | b'\n')).unwrap_or(bytes.len());
     &bytes[begin..]
 }
 
-/// Where the first empty line at or after `from` ends: there the body begins.
+/// Returns the offset just after the first empty line at or after `from`, where the body starts.
 fn find_head_end(head: &[u8], from: usize) -> Option<usize> {
     for at in from..head.len() {
         if head[at..].starts_with(b"\n\n") {
--- a/src/server/listener.rs
+++ b/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections: the accept loop, the TLS handshake and the start of each connection's task.
+//! Accept loop, TLS handshake and the start of connection tasks.
 
 use std::io;
 use std::rc::Rc;
@@ -15,12 +15,12 @@
 use super::spiffe::{ClientIdentity, IdentityVerifier};
 use crate::shutdown::Shutdown;
 
-/// Pause before the next accept after one that failed: what the operating system lacks, such as descriptors,
-/// may be back by then, and a failure that lasts does not use up the CPU.
+/// Delay before accepting again after a failure. A resource shortage, for example of file descriptors, may be
+/// over by then, and a persistent failure does not use up the CPU.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves connections until the shutdown closes the listener. With a verifier each client must prove its
-/// identity before its first request; `make_handler` makes the handler of one client's connection.
+/// Serves connections until the shutdown closes the listener. With a verifier, each client must prove its
+/// identity before its first request. `make_handler` creates the handler of each connection.
 pub async fn serve<H, M>(
     listener: TcpListener, verifier: Option<IdentityVerifier>, limiter: Rc<ConnectionLimiter>,
     shutdown: Shutdown, make_handler: M,
@@ -35,7 +35,7 @@
     drop(listener_guard);
 }
 
-/// What each accepted connection is started with.
+/// Starts the tasks of accepted connections.
 struct ConnectionStarter<M> {
     verifier: Option<IdentityVerifier>,
     limiter: Rc<ConnectionLimiter>,
@@ -65,15 +65,15 @@
         }
     }
 
-    /// Accepts the next connection once there is capacity for it; until then clients wait in the backlog.
+    /// Accepts the next connection once there is capacity for it. Until then, clients wait in the backlog.
     async fn accept(&self, listener: &TcpListener) -> io::Result<TcpStream> {
         self.limiter.wait_for_capacity().await;
         let (socket, _) = listener.accept().await?;
         Ok(socket)
     }
 
-    /// Closes the listener. Connections that the operating system has established are served too, as far as
-    /// there is capacity; the close of the listener resets the others.
+    /// Closes the listener. Connections in the backlog are still served as far as there is capacity; closing
+    /// the listener resets the others.
     fn accept_backlog(&self, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else { return };
         while !self.limiter.is_full()
@@ -86,9 +86,9 @@
         }
     }
 
-    /// Starts the task of a connection, which counts towards the limits from now on.
+    /// Spawns the task of a connection, which counts towards the limits from now on.
     fn start(&self, socket: TcpStream) {
-        // A failure costs latency only.
+        // Best effort: a failure only adds latency.
         let _ = socket.set_nodelay(true);
         let guard = ConnectionGuard { slot: self.limiter.register(), shutdown: self.shutdown.guard() };
         let shutdown = self.shutdown.clone();
@@ -105,8 +105,8 @@
     }
 }
 
-/// Serves a connection once its client has proved its identity, for which it has as long as for a request's
-/// head.
+/// Serves a connection after its client has proved its identity. The handshake has the same timeout as a
+/// request head.
 async fn verify_and_serve<H: RequestHandler>(
     socket: TcpStream, verifier: IdentityVerifier, make_handler: impl Fn(ClientIdentity) -> H,
     shutdown: Shutdown, guard: ConnectionGuard,
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP server side: two APIs read clients' requests, each in its own protocol, and write the responses.
+//! HTTP server: reads client requests and writes responses in the protocols of two APIs.
 //!
-//! [`serve`] accepts connections, [`connection`] runs one of them, and a [`RequestHandler`] ([`platform_api`]
-//! or [`chat_api`]) answers its requests.
+//! [`serve`] accepts connections, [`connection`] runs each of them, and a [`RequestHandler`]
+//! ([`platform_api`] or [`chat_api`]) handles its requests.
 
 mod api_context;
 pub mod chat_api;
--- a/src/server/platform_api/headers.rs
+++ b/src/server/platform_api/headers.rs
@@ -1,4 +1,4 @@
-//! Parsing the headers that describe a request.
+//! Parses the headers that describe a request.
 
 use std::rc::Rc;
 
@@ -17,28 +17,29 @@
 const AFFINITY_KEY: &str = "Affinity-Key";
 const CLIENT_RETRY: &str = "Client-Retry";
 
-/// Longest request id, in bytes: ids go into logs and to endpoints.
+/// Maximum length of a request ID in bytes. IDs are logged and sent to endpoints.
 const MAX_ID_LENGTH: usize = 128;
-/// Longest timeout of a client, in milliseconds: one hour, far above every class's deadline.
+/// Maximum client timeout in milliseconds: one hour, far above the deadline of any class.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
-/// Deducted from a client's timeout, in microseconds, as that runs from the last byte of its request to the
-/// first of the response: both are on the network and in buffers for a while.
+/// Deducted from the client's timeout, in microseconds, for time spent on the network and in buffers. The
+/// client measures from the last byte of its request to the first byte of the response.
 const TRANSIT_ALLOWANCE: Micros = 5_000;
 
-/// What a request's headers say.
+/// The parsed headers of a request.
 pub(super) struct RequestHead {
-    /// The id that its client gave it.
+    /// Request ID assigned by the client.
     pub(super) id: Rc<str>,
-    /// What the scheduler decides by.
+    /// Input of the scheduler's decisions.
     pub(super) spec: RequestSpec,
 }
 
 impl RequestHead {
-    /// Parses a request's headers.
+    /// Parses the headers of a request.
     ///
     /// # Errors
     ///
-    /// A header is missing or malformed, or names what the settings do not have.
+    /// Returns an error if a header is missing or malformed, or names a class or tenant that is not in the
+    /// settings.
     pub(super) fn parse(headers: &HeaderMap, names: &SettingNames) -> Result<Self, InvalidRequest> {
         let id = parse_id(headers)?;
         let spec = parse_spec(headers, names)?;
@@ -86,7 +87,7 @@
     }
 }
 
-/// The client's timeout, in microseconds.
+/// Returns the client's timeout in microseconds.
 fn parse_timeout(headers: &HeaderMap) -> Result<Micros, InvalidRequest> {
     let text = required_header(headers, REQUEST_TIMEOUT_MS)?;
     match text.parse::<u64>() {
@@ -98,7 +99,7 @@
     }
 }
 
-/// The tenant that a request is for, where the settings have any.
+/// Returns the tenant of the request, if the settings define any tenants.
 fn parse_tenant(headers: &HeaderMap, names: &SettingNames) -> Result<Option<TenantId>, InvalidRequest> {
     let Some(tenant) = optional_header(headers, TENANT)? else { return Ok(None) };
     if names.tenants.is_empty() {
@@ -110,14 +111,14 @@
     }
 }
 
-/// What a request is to earlier ones of its client.
+/// How a request relates to earlier requests of its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientRetry {
-    /// It is the first try.
+    /// The client's first request.
     FirstTry,
-    /// It repeats a try that failed.
+    /// Repeats a request that failed.
     Retry,
-    /// It resumes a stream that broke.
+    /// Resumes a stream that broke.
     Resumption,
 }
 
@@ -130,7 +131,7 @@
     }
 }
 
-/// The sizes that `Request-Info` gives.
+/// Sizes specified in `Request-Info`.
 struct RequestInfo {
     prompt_tokens: f64,
     max_output_tokens: f64,
@@ -150,8 +151,8 @@
 }
 
 impl RequestInfo {
-    /// Parses `key=value` pairs; unknown keys are skipped. None where a pair is malformed, a required one is
-    /// missing or the prefix is longer than the prompt.
+    /// Parses `key=value` pairs and ignores unknown keys. Returns `None` if a pair is malformed, a required
+    /// key is missing or the prefix is longer than the prompt.
     fn parse(text: &str) -> Option<Self> {
         let mut prompt_tokens = None;
         let mut max_output_tokens = None;
@@ -180,7 +181,7 @@
     text.parse::<u32>().ok().map(f64::from)
 }
 
-/// A header's text without spaces around it; none where it is missing or empty.
+/// Returns the trimmed value of a header; `None` if it is missing or empty.
 fn optional_header<'a>(
     headers: &'a HeaderMap, name: &'static str,
 ) -> Result<Option<&'a str>, InvalidRequest> {
--- a/src/server/platform_api/invalid_request.rs
+++ b/src/server/platform_api/invalid_request.rs
@@ -1,48 +1,48 @@
-//! Requests that are rejected for their form, with the status and the text that their clients get.
+//! Invalid requests, with the status and message sent to the client.
 
 use hyper::StatusCode;
 
 use crate::server::request_body::BodyError;
 
-/// Why a request was rejected before it reached the scheduler.
+/// Why a request was rejected as invalid before it reached the scheduler.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum InvalidRequest {
     /// A required header is missing.
     #[error("the header {0} is missing")]
     MissingHeader(&'static str),
-    /// A header does not have its form.
+    /// A header is malformed.
     #[error("the header {name} must be {expected}")]
     MalformedHeader {
-        /// Which header.
+        /// Name of the header.
         name: &'static str,
-        /// Its form, in words.
+        /// Description of the expected format.
         expected: &'static str,
     },
-    /// The settings have no such class.
+    /// The class is not defined in the settings.
     #[error("unknown class \"{0}\"")]
     UnknownClass(String),
-    /// The settings have no such tenant.
+    /// The tenant is not defined in the settings.
     #[error("unknown tenant \"{0}\"")]
     UnknownTenant(String),
-    /// A request with this id is open, or was lately.
+    /// The ID belongs to an open or recently ended request.
     #[error("the request id \"{0}\" was used before")]
     DuplicateId(String),
     /// The body was not accepted.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// The body's length is given in two ways.
+    /// The head specifies the body length in two ways.
     #[error("Content-Length and Transfer-Encoding exclude each other")]
     ConflictingLengths,
-    /// The API has no such path.
+    /// The path does not exist.
     #[error("no such path")]
     UnknownPath,
-    /// The path takes another method, which is named.
+    /// The path requires the given method.
     #[error("this path takes {0}")]
     Method(&'static str),
 }
 
 impl InvalidRequest {
-    /// The status that the client gets.
+    /// Returns the status sent to the client.
     pub(super) fn status(&self) -> StatusCode {
         match self {
             InvalidRequest::DuplicateId(_) => StatusCode::CONFLICT,
--- a/src/server/platform_api/mod.rs
+++ b/src/server/platform_api/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's API: requests are described by headers, results by status codes.
+//! The platform API: requests are described by headers, results by status codes.
 
 mod headers;
 mod invalid_request;
@@ -32,7 +32,7 @@
 const READY_PATH: &str = "/-/ready";
 const COUNTERS_PATH: &str = "/-/counters";
 
-/// The platform's API, for all its clients.
+/// The platform API, shared by all its clients.
 #[derive(Clone)]
 pub struct PlatformApi {
     context: ApiContext,
@@ -54,8 +54,8 @@
 }
 
 impl PlatformApi {
-    /// The API for this deployment. It reports that it is ready once `ready` is true; `max_retry_after` is
-    /// the longest `Retry-After` that clients heed, none where they are sent none.
+    /// Creates the API. It reports readiness while `ready` is true. `max_retry_after` is the longest
+    /// `Retry-After` that clients honor; `None` omits the header.
     pub fn new(
         routing: RoutingContext, names: SettingNames, max_retry_after: Option<Micros>,
         limiter: Rc<ConnectionLimiter>, ready: watch::Receiver<bool>, shutdown: Shutdown,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Rejects a request for its form.
+    /// Rejects an invalid request.
     fn reject_invalid(&self, error: &InvalidRequest) -> ServerResponse {
         self.context.counters().malformed.increment();
         tracing::debug!(%error, "request rejected as invalid");
@@ -110,7 +110,7 @@
         if has_conflicting_lengths(&request) {
             return Err(InvalidRequest::ConflictingLengths);
         }
-        // Also the body of an invalid request is read, so that its connection can be kept.
+        // The body of an invalid request is read as well, so that the connection can be reused.
         let parsed_head = RequestHead::parse(request.headers(), &self.names);
         let body_use = if parsed_head.is_ok() { BodyUse::Keep } else { BodyUse::Discard };
         let body = match self.context.read_body(&mut request, body_use).await {
@@ -139,7 +139,7 @@
     }
 }
 
-/// What endpoints are sent of a request.
+/// Builds the payload sent to endpoints.
 fn payload(request: &Request<Incoming>, id: Rc<str>, body: Bytes) -> Result<RequestPayload, InvalidRequest> {
     let target = request.uri().path_and_query().cloned().ok_or(InvalidRequest::UnknownPath)?;
     let content_type = request.headers().get(CONTENT_TYPE).cloned();
@@ -155,7 +155,7 @@
     text_response(error.status(), format!("{error}\n"))
 }
 
-/// The response to a request that was rejected for want of capacity and has not run.
+/// Builds the response to a request that was rejected for lack of capacity and has not been executed.
 fn rejection(retry_after: Option<Micros>) -> ServerResponse {
     let mut response = text_response(StatusCode::TOO_MANY_REQUESTS, "refused: trying again is harmless\n");
     set_retry_after(response.headers_mut(), retry_after);
--- a/src/server/platform_api/open_requests.rs
+++ b/src/server/platform_api/open_requests.rs
@@ -1,13 +1,14 @@
-//! The ids of open requests and of the last ones that ended, by which a repeated id is recognised.
+//! Tracks the IDs of open and recently ended requests to detect duplicates.
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
 
-/// Ids of ended requests that are still recognised: more than a client repeats by mistake, at little memory.
+/// Number of ended request IDs that are remembered. Exceeds what a client repeats by mistake, and needs
+/// little memory.
 const MAX_ENDED_IDS: usize = 512;
 
-/// The ids that a new request may not have.
+/// The request IDs that a new request must not reuse.
 #[derive(Clone, Default)]
 pub(super) struct OpenRequests {
     ids: Rc<RefCell<UsedIds>>,
@@ -15,14 +16,14 @@
 
 #[derive(Default)]
 struct UsedIds {
-    /// All of them, with those of ended requests.
+    /// IDs of open and of remembered ended requests.
     used: HashSet<Rc<str>>,
-    /// Those of ended requests, in the order of their ends.
+    /// IDs of ended requests, oldest first.
     ended: VecDeque<Rc<str>>,
 }
 
 impl OpenRequests {
-    /// Registers a new request; none where its id is used already.
+    /// Registers a new request. Returns `None` if its ID is already in use.
     pub(super) fn register(&self, id: &Rc<str>) -> Option<OpenRequest> {
         if !self.ids.borrow_mut().used.insert(id.clone()) {
             return None;
@@ -31,7 +32,7 @@
     }
 }
 
-/// One open request; when dropped, its id is among those of ended requests.
+/// An open request. On drop, its ID moves to the ended ones.
 pub(super) struct OpenRequest {
     ids: Rc<RefCell<UsedIds>>,
     id: Rc<str>,
--- a/src/server/request_body.rs
+++ b/src/server/request_body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body, within the memory and the time that it may take.
+//! Reads request bodies within memory and time limits.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -13,56 +13,56 @@
 use super::connection_limits::{BodyAllocation, ConnectionLimiter};
 use super::connection_state::RequestArrival;
 
-/// Largest body of a request, in bytes.
+/// Maximum size of a request body in bytes.
 const MAX_BODY_SIZE: usize = 256 * 1024;
-/// Most bytes of a body that are read in all. A body that is too large is discarded up to here, so that the
-/// connection can be kept; past it a close is cheaper.
+/// Maximum number of bytes read of any body. An oversized body is read and discarded up to this size so that
+/// the connection can be reused; beyond it, closing the connection is cheaper.
 const MAX_DISCARDED_SIZE: usize = 2 * 1024 * 1024;
-/// Time for a client to send a complete request: an error or a close is due within 3 s.
+/// Time for a client to send a complete request. An error response or a close is required within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// Least time that a body gets from the end of its head on, however long the head took.
+/// Minimum time for a body from the end of its head, regardless of how long the head took.
 const MIN_BODY_TIME: Duration = Duration::from_millis(500);
 
-/// Why a request's body was not accepted.
+/// Why a request body was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum BodyError {
-    /// It is too large.
+    /// The body exceeds the size limit.
     #[error("the body is over {MAX_BODY_SIZE} bytes")]
     TooLarge,
-    /// The bodies of other requests take up the memory limit; a retry is harmless.
+    /// Other request bodies use up the memory limit. The request is safe to retry.
     #[error("no room for the body")]
     NoRoom,
-    /// It took too long.
+    /// The body did not arrive in time.
     #[error("the body took too long to arrive")]
     Slow,
-    /// The connection broke within it.
+    /// The connection failed before the end of the body.
     #[error("the body broke off: {0}")]
     Broken(#[from] hyper::Error),
 }
 
-/// What a body is read for.
+/// What happens to the bytes of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyUse {
-    /// Its bytes are needed.
+    /// The bytes are kept.
     Keep,
-    /// It is only read past, as its request is rejected anyway.
+    /// The bytes are discarded, because the request is rejected anyway.
     Discard,
 }
 
 /// A body that was read to its end.
 pub(super) struct ReceivedBody {
-    /// Its bytes; empty if they were discarded.
+    /// The bytes; empty if they were discarded.
     pub(super) bytes: Bytes,
-    /// Its share of the memory limit.
+    /// Memory accounted to the body.
     pub(super) allocation: BodyAllocation,
 }
 
-/// Reads a body to its end. One that is discarded, a little too large or finds no memory is read past, so
-/// that the connection can be kept.
+/// Reads a body to its end. A body is also read, and discarded, if it is not needed, slightly too large or
+/// exceeds the memory limit, so that the connection can be reused.
 ///
 /// # Errors
 ///
-/// The body is too large, finds no memory, arrives too late or breaks off.
+/// Returns an error if the body is too large, exceeds the memory limit, arrives too late or is incomplete.
 pub(super) async fn read_body(
     request: &mut Request<Incoming>, body_use: BodyUse, limiter: &Rc<ConnectionLimiter>,
 ) -> Result<ReceivedBody, BodyError> {
@@ -88,13 +88,13 @@
     buffer.finish()
 }
 
-/// The part of a body that has arrived.
+/// The part of a body received so far.
 struct BodyBuffer {
     body_use: BodyUse,
-    /// Length that the head announced, in bytes, at least.
+    /// Minimum body length in bytes announced by the head.
     announced: u64,
     received: usize,
-    /// All that was received is in `bytes`.
+    /// Whether `bytes` holds everything that was received.
     is_kept: bool,
     bytes: BytesMut,
     allocation: BodyAllocation,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Adds bytes that arrived. Memory is allocated for these, not for what was announced.
+    /// Appends received bytes. Memory is accounted for received bytes, not for the announced length.
     fn push(&mut self, data: &[u8]) -> Result<(), BodyError> {
         self.received += data.len();
         if self.received > MAX_DISCARDED_SIZE {
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// The body, at its end.
+    /// Returns the complete body.
     fn finish(self) -> Result<ReceivedBody, BodyError> {
         if self.received > MAX_BODY_SIZE {
             return Err(BodyError::TooLarge);
--- a/src/server/response.rs
+++ b/src/server/response.rs
@@ -1,4 +1,4 @@
-//! Building responses: what both APIs need, in no protocol of their own.
+//! Protocol-independent helpers that build responses for both APIs.
 
 use bytes::Bytes;
 use http_body_util::{Either, Full};
@@ -11,7 +11,7 @@
 use crate::scheduler::Micros;
 use crate::upstream::event_stream::StreamChunk;
 
-/// A response with a complete body.
+/// Builds a response with a complete body.
 pub(super) fn complete_response(
     status: StatusCode, content_type: Option<HeaderValue>, body: impl Into<Bytes>,
 ) -> ServerResponse {
@@ -21,7 +21,7 @@
     response
 }
 
-/// A response that streams these chunks.
+/// Builds a response that streams `chunks`.
 pub(super) fn stream_response(
     content_type: Option<HeaderValue>, chunks: mpsc::Receiver<StreamChunk>,
 ) -> ServerResponse {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Sets `Retry-After`, in seconds with fractions, where there is a time to name.
+/// Sets `Retry-After` in fractional seconds, if there is a value.
 pub(super) fn set_retry_after(headers: &mut HeaderMap, retry_after: Option<Micros>) {
     let Some(micros) = retry_after else { return };
     let seconds = micros as f64 / 1e6;
@@ -45,7 +45,7 @@
     }
 }
 
-/// Announces that the connection is closed behind this response.
+/// Announces that the connection is closed after this response.
 pub(super) fn set_connection_close(response: &mut ServerResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/src/server/spiffe.rs
+++ b/src/server/spiffe.rs
@@ -1,4 +1,4 @@
-//! SPIFFE identities: mutual TLS whose client is known by the URI in its certificate.
+//! SPIFFE identities: mutual TLS in which a client is identified by the URI in its certificate.
 
 use std::cell::RefCell;
 use std::error::Error;
@@ -21,34 +21,34 @@
 
 use crate::config::TlsSettings;
 
-/// Time for a client to finish the handshake.
+/// Time for a client to complete the TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest SPIFFE ID, in bytes, by the standard.
+/// Maximum length of a SPIFFE ID in bytes, as specified by the SPIFFE standard.
 const MAX_ID_LENGTH: usize = 2_048;
-/// Longest trust domain of a SPIFFE ID, in bytes, by the standard.
+/// Maximum length of the trust domain in bytes, as specified by the SPIFFE standard.
 const MAX_TRUST_DOMAIN_LENGTH: usize = 255;
 
-/// Why identities cannot be set up, or a client has proved none.
+/// Errors from setting up or verifying identities.
 #[derive(Debug, thiserror::Error)]
 pub enum IdentityError {
-    /// A file cannot be read or used.
+    /// A file cannot be read or is invalid.
     #[error("{}: {source}", path.display())]
     File {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The underlying error.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// An allowed identity is not a SPIFFE ID.
+    /// An entry of `allowed_ids` is not a SPIFFE ID.
     #[error("allowed_ids: \"{0}\" is not a SPIFFE ID")]
     Id(String),
-    /// The handshake failed.
+    /// The TLS handshake failed.
     #[error(transparent)]
     Handshake(#[from] io::Error),
-    /// The handshake took too long.
+    /// The TLS handshake timed out.
     #[error("the handshake took over {} s", HANDSHAKE_TIMEOUT.as_secs())]
     Slow,
-    /// The certificate names no single SPIFFE ID.
+    /// The client certificate does not contain exactly one valid SPIFFE ID.
     #[error("its certificate must name exactly one SPIFFE ID as URI")]
     NoId,
 }
@@ -59,18 +59,19 @@
     }
 }
 
-/// Who a client is.
+/// Identity of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientIdentity {
-    /// It was not verified, as the API verifies no identities.
+    /// The API does not verify identities.
     Unverified,
-    /// It has proved this identity, which is allowed.
+    /// The client has proved an identity that is allowed.
     Allowed(Rc<str>),
-    /// It has proved this identity, which is not allowed.
+    /// The client has proved an identity that is not allowed.
     Denied(Rc<str>),
 }
 
-/// Whether a text is a SPIFFE ID: a trust domain and a path, without the parts that the standard forbids.
+/// Returns whether `text` is a SPIFFE ID with a trust domain and an optional path, as the SPIFFE standard
+/// defines them.
 pub fn is_spiffe_id(text: &str) -> bool {
     if text.len() > MAX_ID_LENGTH {
         return false;
@@ -93,11 +94,12 @@
     !matches!(text, "" | "." | "..") && text.chars().all(is_allowed)
 }
 
-/// The one SPIFFE ID that a certificate names.
+/// Returns the SPIFFE ID in a certificate.
 ///
 /// # Errors
 ///
-/// The certificate cannot be parsed, or names none or several URIs, or one that is not a SPIFFE ID.
+/// Returns an error if the certificate cannot be parsed or does not contain exactly one URI that is a SPIFFE
+/// ID.
 pub fn spiffe_id(certificate: &[u8]) -> Result<String, IdentityError> {
     let (_, certificate) = X509Certificate::from_der(certificate).map_err(|_| IdentityError::NoId)?;
     let extension = certificate.subject_alternative_name().map_err(|_| IdentityError::NoId)?;
@@ -113,7 +115,7 @@
     }
 }
 
-/// When a file last changed, and its length, by which a replaced file is noticed.
+/// Modification time and length of a file, used to detect that it was replaced.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileVersion {
     modified: SystemTime,
@@ -121,7 +123,7 @@
 }
 
 impl FileVersion {
-    /// Of the file as it is; none where the operating system does not say.
+    /// Reads the current version of a file; `None` if the operating system does not report it.
     fn of(path: &Path) -> Option<Self> {
         let metadata = fs::metadata(path).ok()?;
         Some(FileVersion { modified: metadata.modified().ok()?, length: metadata.len() })
@@ -129,12 +131,12 @@
 }
 
 impl TlsSettings {
-    /// The versions of the files as they are.
+    /// Returns the current versions of the files.
     fn file_versions(&self) -> [Option<FileVersion>; 3] {
         [&self.certificate, &self.key, &self.trust_bundle].map(|path| FileVersion::of(path))
     }
 
-    /// Reads the files.
+    /// Loads the files into a TLS acceptor.
     fn read_acceptor(&self) -> Result<TlsAcceptor, IdentityError> {
         let mut roots = RootCertStore::empty();
         for root in read_certificates(&self.trust_bundle)? {
@@ -163,14 +165,14 @@
         .map_err(|error| IdentityError::file(path, error))
 }
 
-/// Verifies clients' identities in the TLS handshake. Clones share the files that were read.
+/// Verifies client identities during the TLS handshake. Clones share the loaded files.
 #[derive(Clone)]
 pub struct IdentityVerifier {
     settings: Rc<TlsSettings>,
     loaded: Rc<RefCell<LoadedFiles>>,
 }
 
-/// The files as they were last read.
+/// The most recently loaded files.
 struct LoadedFiles {
     versions: [Option<FileVersion>; 3],
     acceptor: TlsAcceptor,
@@ -178,18 +180,18 @@
 
 /// A client whose identity was verified.
 pub struct VerifiedClient {
-    /// Its connection.
+    /// The connection.
     pub stream: TlsStream<TcpStream>,
-    /// Its identity.
+    /// The identity.
     pub identity: ClientIdentity,
 }
 
 impl IdentityVerifier {
-    /// Reads certificate, key and trust bundle; relative paths start at `base`.
+    /// Loads the certificate, key and trust bundle. Relative paths are resolved against `base`.
     ///
     /// # Errors
     ///
-    /// An allowed identity is not a SPIFFE ID, or a file cannot be read or used.
+    /// Returns an error if an allowed identity is not a SPIFFE ID, or if a file cannot be read or is invalid.
     pub fn read(mut settings: TlsSettings, base: &Path) -> Result<Self, IdentityError> {
         for path in [&mut settings.certificate, &mut settings.key, &mut settings.trust_bundle] {
             *path = base.join(&*path);
@@ -205,9 +207,9 @@
         })
     }
 
-    /// The acceptor for the next client. Certificates are short-lived and their files are replaced while the
-    /// program runs; files that cannot be read, perhaps as they are half written, leave the last ones in use
-    /// until the next client.
+    /// Returns the acceptor for the next client. Certificates are short-lived, and their files are replaced
+    /// while the program runs. If the files cannot be loaded, for example because they are partially written,
+    /// the previous ones stay in use and loading is retried for the next client.
     fn current_acceptor(&self) -> TlsAcceptor {
         let versions = self.settings.file_versions();
         let mut loaded = self.loaded.borrow_mut();
@@ -226,11 +228,12 @@
         loaded.acceptor.clone()
     }
 
-    /// Takes a client through the handshake and verifies its identity.
+    /// Performs the TLS handshake with a client and verifies its identity.
     ///
     /// # Errors
     ///
-    /// The handshake fails or takes too long, or the client's certificate names no single SPIFFE ID.
+    /// Returns an error if the handshake fails or times out, or if the client certificate does not contain
+    /// exactly one SPIFFE ID.
     pub async fn verify(&self, socket: TcpStream) -> Result<VerifiedClient, IdentityError> {
         let handshake = self.current_acceptor().accept(socket);
         let accepted = timeout(HANDSHAKE_TIMEOUT, handshake).await;
@@ -242,7 +245,7 @@
         Ok(VerifiedClient { stream, identity })
     }
 
-    /// Whether a proved identity is allowed.
+    /// Checks a verified identity against the allowed ones.
     fn authorize(&self, id: String) -> ClientIdentity {
         if self.settings.allowed_ids.contains(&id) {
             return ClientIdentity::Allowed(id.into());
--- a/src/server/stream_body.rs
+++ b/src/server/stream_body.rs
@@ -1,4 +1,4 @@
-//! The body of a streamed response.
+//! Body of a streamed response.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -11,16 +11,17 @@
 use super::connection_state::ClientState;
 use crate::upstream::event_stream::{StreamBroken, StreamChunk};
 
-/// A response body that forwards chunks as they arrive and fails where the stream broke, which closes the
-/// connection.
+/// A response body that forwards chunks as they arrive. If the stream breaks, the body fails, which closes
+/// the connection.
 pub struct StreamBody {
     chunks: mpsc::Receiver<StreamChunk>,
-    /// The connection that it is written to; none before the response is handed over to it.
+    /// State of the connection that the body is written to; `None` until the response is handed to the
+    /// connection.
     client: Option<Rc<ClientState>>,
 }
 
 impl StreamBody {
-    /// The body that forwards these chunks.
+    /// Creates a body that forwards `chunks`.
     pub fn new(chunks: mpsc::Receiver<StreamChunk>) -> Self {
         StreamBody { chunks, client: None }
     }
@@ -34,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// The stream broke before its end.
+    /// Returns an error if the stream broke before its end.
     pub async fn collect(mut self) -> Result<Bytes, StreamBroken> {
         let mut collected = BytesMut::new();
         while let Some(chunk) = self.chunks.recv().await {
--- a/tests/both_apis.rs
+++ b/tests/both_apis.rs
@@ -1,5 +1,5 @@
-//! Both APIs at once in one process: 40 requests a second for a bounded time, each with one final answer, and no
-//! `route-save` request at an endpoint twice.
+//! Runs both APIs in one process at 40 requests per second. Each request must get exactly one final answer,
+//! and no `route-save` request may reach an endpoint twice.
 
 mod common;
 
@@ -13,13 +13,12 @@
 use common::discovery_stub::serve_endpoint_list;
 use common::router_process::RouterProcess;
 
-/// How many requests are sent, half of them to each API.
+/// Total number of requests, half of them to each API.
 const REQUESTS: u32 = 120;
-/// Between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
-/// `route-save` requests, one of each API, whose connection is closed before the first event.
+/// `route-save` requests, one per API, whose connection the endpoint closes before the first event.
 const CLOSED_BEFORE_FIRST_EVENT: [u32; 2] = [21, 40];
-/// `route-save` requests, one of each API, whose connection is closed after the first event.
+/// `route-save` requests, one per API, whose connection the endpoint closes after the first event.
 const CLOSED_AFTER_FIRST_EVENT: [u32; 2] = [61, 80];
 
 const RELEASED: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
@@ -31,17 +30,17 @@
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n\
     18\r\ndata: {}\n\ndata: [DONE]\n\n\r\n0\r\n\r\n";
 
-/// How often each request arrived at an endpoint that answers it.
+/// How often each request arrived at an endpoint that answers it, by request number.
 type ArrivalCounts = Arc<Mutex<HashMap<String, u32>>>;
 
-/// One message read from a connection.
+/// A message read from a connection.
 struct Message {
     head: String,
     body: String,
 }
 
 impl Message {
-    /// Reads a message; none where the connection ends before it is complete.
+    /// Reads a message. Returns `None` if the connection ends before the message is complete.
     fn read(connection: &mut BufReader<TcpStream>) -> Option<Message> {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
@@ -65,13 +64,13 @@
         self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or_default()
     }
 
-    /// The number of the request, which its prompt names.
+    /// Returns the request number contained in the prompt.
     fn request_number(&self) -> &str {
         self.body.split("no ").nth(1).and_then(|text| text.split(' ').next()).unwrap_or_default()
     }
 }
 
-/// The value of a header, by its name in lower case with the colon and the space behind it.
+/// Returns the value of a header. `prefix` is the lower-case name followed by a colon and a space.
 fn header(head: &str, prefix: &str) -> Option<String> {
     head.lines().find_map(|line| line.to_lowercase().strip_prefix(prefix).map(str::to_owned))
 }
@@ -90,7 +89,8 @@
     }
 }
 
-/// Starts an endpoint stub that counts each request that arrives to be answered, and closes the connections of some.
+/// Starts an endpoint stub that counts each request that arrives to be answered and closes the connections of
+/// some requests.
 fn start_endpoint_stub(base: &str, name: &'static str, arrivals: ArrivalCounts) {
     let listener = TcpListener::bind(format!("{base}:{}", port(name))).expect("a free address");
     std::thread::spawn(move || {
@@ -129,7 +129,7 @@
     }
 }
 
-/// How one request ended for its client.
+/// Result of a request as seen by its client.
 #[derive(Debug, PartialEq)]
 enum ClientResult {
     Complete,
@@ -137,12 +137,12 @@
     Status(u32),
 }
 
-/// Whether a request is not idempotent: two of every four are, one of each API.
+/// Returns whether a request is not idempotent. This applies to two of every four requests, one per API.
 fn is_route_save(number: u32) -> bool {
     number % 4 < 2
 }
 
-/// The port of a request's API, and the text of the request.
+/// Returns the port of the API and the text of a request.
 fn request(number: u32) -> (u32, String) {
     let to_chat_api = number.is_multiple_of(2);
     let model = if is_route_save(number) { "route-save" } else { "climb-assist" };
@@ -169,7 +169,7 @@
     output.write_all(text.as_bytes()).expect("it reads");
     let mut input = BufReader::new(socket);
     let Some(answer) = Message::read(&mut input) else { return ClientResult::ConnectionLost };
-    // One final answer: nothing may follow it on this connection.
+    // Exactly one final answer: nothing may follow on this connection.
     let _ = output.shutdown(Shutdown::Write);
     let mut more = Vec::new();
     let _ = input.read_to_end(&mut more);
@@ -180,14 +180,14 @@
     ClientResult::Status(answer.status())
 }
 
-/// Sends all requests at their pace; returns how each of them ended.
+/// Sends all requests at the configured rate and returns their results.
 fn send_requests(base: &str) -> Vec<(u32, ClientResult)> {
     let start = Instant::now();
     let clients: Vec<_> = (0..REQUESTS)
         .map(|number| {
             let base = base.to_owned();
             std::thread::spawn(move || {
-                // The pace of arrivals; no verdict depends on it.
+                // Sets the request rate only; no assertion depends on it.
                 let send_at = start + REQUEST_INTERVAL * number;
                 std::thread::sleep(send_at.saturating_duration_since(Instant::now()));
                 (number, send_request(&base, number))
@@ -205,10 +205,10 @@
     let closed_before = CLOSED_BEFORE_FIRST_EVENT.contains(&number);
     let closed_after = CLOSED_AFTER_FIRST_EVENT.contains(&number);
     match (arrivals, closed_before, closed_after) {
-        // Never sent: rejected, as a retry is harmless.
+        // Never sent to an endpoint: rejected as safe to retry.
         (0, ..) => assert_eq!(*result, ClientResult::Status(429), "request {number}"),
         (_, true, _) => assert_eq!(*result, ClientResult::Status(502), "request {number}"),
-        // A close that overtakes its event is one before it.
+        // The close may overtake the event and then counts as a close before it.
         (_, _, true) => {
             let allowed = [ClientResult::ConnectionLost, ClientResult::Status(502)];
             assert!(allowed.contains(result), "request {number}");
@@ -217,7 +217,8 @@
     }
 }
 
-/// Checks that the counters of an API, logged at the end, account for each of its requests with one final answer.
+/// Checks that the API's final counters in the log account for each of its requests with exactly one final
+/// answer.
 fn assert_counters(log: &str, api: &str) {
     let prefix = format!("final counters api=\"{api}\" counters=");
     let line = log.lines().find_map(|line| line.split_once(&prefix)).expect("counters at the end").1;
@@ -248,7 +249,7 @@
     for (number, result) in &results {
         assert_result(*number, result, arrivals.get(&number.to_string()).copied().unwrap_or(0));
     }
-    // Connections are reused once they have been idle for a while.
+    // Connections are reused after a short idle time.
     assert!(!log.contains("\"reuses\":0,"), "{log}");
     let complete = results.iter().filter(|(_, result)| *result == ClientResult::Complete).count();
     assert!(complete as u32 > REQUESTS / 2, "only {complete} were served:\n{log}");
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! Recorded exchanges, played against the router. The first line of each file says what it guards.
+//! Replays recorded exchanges against the router. The first line of each file states what it tests.
 
 mod common;
 
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -1,4 +1,4 @@
-//! SPIFFE identities of clients at the chat API, with certificates made here.
+//! Verification of SPIFFE client identities at the chat API, with generated certificates.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, Stream};
 
-/// An authority that signs certificates.
+/// A certificate authority.
 struct Authority {
     issuer: Issuer<'static, KeyPair>,
     certificate: CertificateDer<'static>,
@@ -29,14 +29,14 @@
     Authority { issuer: Issuer::new(params, key), certificate, pem }
 }
 
-/// A certificate and its key.
+/// A certificate and its private key.
 struct Identity {
     pem: String,
     certificate: CertificateDer<'static>,
     key: KeyPair,
 }
 
-/// An identity whose certificate names these URIs.
+/// Creates an identity whose certificate contains these URIs.
 fn create_identity(authority: &Authority, uris: &[&str]) -> Identity {
     let key = KeyPair::generate().expect("a key");
     let mut params = CertificateParams::new(vec!["chat".into()]).expect("parameters");
@@ -47,7 +47,7 @@
     Identity { pem: made.pem(), certificate: made.der().clone(), key }
 }
 
-/// The answer that a client with this identity reads to `GET /v1/models`, or why it gets none.
+/// Sends `GET /v1/models` with this identity and returns the response, or the error if there is none.
 fn get_models(address: &str, trusted: &Authority, identity: Option<Identity>) -> std::io::Result<String> {
     let mut roots = RootCertStore::empty();
     roots.add(trusted.certificate.clone()).expect("a root");
@@ -71,7 +71,7 @@
     Ok(text)
 }
 
-/// The one identity that is allowed.
+/// The only allowed identity.
 const ALLOWED_ID: &str = "spiffe://hanbit.example/partner/club";
 
 #[test]
@@ -97,18 +97,18 @@
     let denied = get_models_as(&ours, &["spiffe://hanbit.example/partner/other"])
         .expect("another one is answered too");
     assert!(denied.starts_with("HTTP/1.1 403") && denied.contains("identity_not_allowed"), "{denied}");
-    // No URI, two of them, one that is no SPIFFE ID, one of another authority, no certificate at all: no answer.
+    // Not answered: no URI, two URIs, a URI that is not a SPIFFE ID, an untrusted authority, no certificate.
     assert!(get_models_as(&ours, &[]).is_err());
     assert!(get_models_as(&ours, &[ALLOWED_ID, "spiffe://hanbit.example/partner/two"]).is_err());
     assert!(get_models_as(&ours, &["https://hanbit.example/partner/club"]).is_err());
     assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_err());
     assert!(get_models(&chat_address, &ours, None).is_err());
-    // A bundle that is replaced while the router runs applies to the next client; a malformed one is ignored.
+    // A trust bundle that is replaced at run time applies to the next client; an invalid one is ignored.
     file(&base, "bundle.pem", "no bundle");
     assert!(get_models_as(&ours, &[ALLOWED_ID]).is_ok());
     file(&base, "bundle.pem", &format!("{}{}", ours.pem, theirs.pem));
     assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK")));
-    // Without TLS there is no answer either.
+    // Without TLS there is no HTTP response either.
     let mut plain = TcpStream::connect(&chat_address).expect("it listens");
     plain.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\n\r\n").expect("it reads");
     let mut text = Vec::new();
--- a/tests/tenants_and_keys.rs
+++ b/tests/tenants_and_keys.rs
@@ -1,4 +1,4 @@
-//! Settings of other deployments, on sockets: idempotency keys, tenants and `Retry-After`.
+//! Idempotency keys, tenants and `Retry-After`, with the settings of other deployments.
 
 mod common;
 
@@ -44,7 +44,8 @@
 }
 
 const NO_TENANTS: &str = "\"accounts\": []";
-/// The quota of the first allows a single request in a long while, that of the second all of them.
+/// The quota of the first tenant allows a single request for the duration of the test, that of the second
+/// allows all of its requests.
 const TENANTS: &str = "\"accounts\": [{\"name\":\"small\",\"share\":0.1,\"quotaPerS\":0.001},\
                        {\"name\":\"large\",\"share\":0.9,\"quotaPerS\":100000.0}]";
 
@@ -52,7 +53,8 @@
 fn a_tenant_beyond_its_quota_waits_for_those_within_theirs() {
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
-    // No decode endpoint is known, so the requests are queued, and those within their quota are sent first.
+    // No decode endpoint is known, so requests are queued, and those within their tenant's quota are sent
+    // first.
     let mut router = start_router(&base, &["r1"], &[(NO_TENANTS, TENANTS)]);
     let mut clients: Vec<Connection> = Vec::new();
     for (tenant, count) in [("small", 5), ("large", 3)] {
@@ -93,7 +95,8 @@
     router.process.terminate();
 }
 
-/// The answer to a request whose body exceeds the memory limit, with parts of the configuration replaced.
+/// Returns the response to a request whose body exceeds the memory limit, with parts of the configuration
+/// replaced.
 fn response_without_memory(replacements: &[(&str, &str)]) -> Message {
     let base = address();
     let no_memory = [("\"memory_mb\":192", "\"memory_mb\":0")];
