--- a/src/server/listener.rs
+++ b/src/server/listener.rs
@@ -58,7 +58,7 @@
             match accepted {
                 Ok(socket) => self.start(socket),
                 Err(error) => {
-                    tracing::warn!(%error, "cannot accept a connection");
+                    tracing::warn!(%error, "failed to accept a connection");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -119,7 +119,7 @@
         Ok(Ok(client)) => {
             serve_connection(client.stream, make_handler(client.identity), shutdown, guard).await;
         }
-        Ok(Err(error)) => tracing::warn!(%error, "client did not prove its identity"),
-        Err(_) => tracing::warn!("client did not prove its identity in time"),
+        Ok(Err(error)) => tracing::warn!(%error, "client identity verification failed"),
+        Err(_) => tracing::warn!("client identity verification timed out"),
     }
 }
--- a/src/server/spiffe.rs
+++ b/src/server/spiffe.rs
@@ -46,10 +46,10 @@
     #[error(transparent)]
     Handshake(#[from] io::Error),
     /// The TLS handshake timed out.
-    #[error("the handshake took over {} s", HANDSHAKE_TIMEOUT.as_secs())]
+    #[error("TLS handshake did not complete within {} s", HANDSHAKE_TIMEOUT.as_secs())]
     Slow,
     /// The client certificate does not contain exactly one valid SPIFFE ID.
-    #[error("its certificate must name exactly one SPIFFE ID as URI")]
+    #[error("client certificate must contain exactly one SPIFFE ID as a URI")]
     NoId,
 }
 
@@ -222,7 +222,7 @@
                 *loaded = LoadedFiles { versions, acceptor };
             }
             Err(error) => {
-                tracing::warn!(%error, "identity files cannot be reloaded, the previous ones stay in use");
+                tracing::warn!(%error, "failed to reload identity files, keeping the previous ones");
             }
         }
         loaded.acceptor.clone()
@@ -250,7 +250,7 @@
         if self.settings.allowed_ids.contains(&id) {
             return ClientIdentity::Allowed(id.into());
         }
-        tracing::warn!(identity = %id, "identity is not allowed");
+        tracing::warn!(identity = %id, "client identity is not allowed");
         ClientIdentity::Denied(id.into())
     }
 }
--- a/tests/both_apis.rs
+++ b/tests/both_apis.rs
@@ -92,7 +92,7 @@
 /// Starts an endpoint stub that counts each request that arrives to be answered and closes the connections of
 /// some requests.
 fn start_endpoint_stub(base: &str, name: &'static str, arrivals: ArrivalCounts) {
-    let listener = TcpListener::bind(format!("{base}:{}", port(name))).expect("a free address");
+    let listener = TcpListener::bind(format!("{base}:{}", port(name))).expect("bind the endpoint stub");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
             let arrivals = arrivals.clone();
@@ -103,7 +103,7 @@
 
 fn serve_endpoint_connection(socket: TcpStream, name: &str, arrivals: &ArrivalCounts) {
     let _ = socket.set_nodelay(true);
-    let mut output = socket.try_clone().expect("a second handle");
+    let mut output = socket.try_clone().expect("clone the socket");
     let mut input = BufReader::new(socket);
     while let Some(message) = Message::read(&mut input) {
         if message.head.starts_with("DELETE") {
@@ -115,7 +115,7 @@
             continue;
         }
         let number = message.request_number();
-        *arrivals.lock().expect("the counts").entry(number.to_owned()).or_default() += 1;
+        *arrivals.lock().expect("lock the arrival counts").entry(number.to_owned()).or_default() += 1;
         match number.parse::<u32>().unwrap_or_default() {
             number if CLOSED_BEFORE_FIRST_EVENT.contains(&number) => return,
             number if CLOSED_AFTER_FIRST_EVENT.contains(&number) => {
@@ -164,16 +164,20 @@
 
 fn send_request(base: &str, number: u32) -> ClientResult {
     let (port, text) = request(number);
-    let socket = TcpStream::connect(format!("{base}:{port}")).expect("it listens");
-    let mut output = socket.try_clone().expect("a second handle");
-    output.write_all(text.as_bytes()).expect("it reads");
+    let socket = TcpStream::connect(format!("{base}:{port}")).expect("connect to the router");
+    let mut output = socket.try_clone().expect("clone the socket");
+    output.write_all(text.as_bytes()).expect("send the request");
     let mut input = BufReader::new(socket);
     let Some(answer) = Message::read(&mut input) else { return ClientResult::ConnectionLost };
     // Exactly one final answer: nothing may follow on this connection.
     let _ = output.shutdown(Shutdown::Write);
     let mut more = Vec::new();
     let _ = input.read_to_end(&mut more);
-    assert!(more.is_empty(), "request {number} got more: {}", String::from_utf8_lossy(&more));
+    assert!(
+        more.is_empty(),
+        "unexpected data after the answer to request {number}: {}",
+        String::from_utf8_lossy(&more)
+    );
     if answer.status() == 200 && answer.body.ends_with("[DONE]\n\n") {
         return ClientResult::Complete;
     }
@@ -194,7 +198,7 @@
             })
         })
         .collect();
-    clients.into_iter().map(|client| client.join().expect("a client")).collect()
+    clients.into_iter().map(|client| client.join().expect("join the client thread")).collect()
 }
 
 fn assert_result(number: u32, result: &ClientResult, arrivals: u32) {
@@ -221,8 +225,8 @@
 /// answer.
 fn assert_counters(log: &str, api: &str) {
     let prefix = format!("final counters api=\"{api}\" counters=");
-    let line = log.lines().find_map(|line| line.split_once(&prefix)).expect("counters at the end").1;
-    let counters: HashMap<String, u32> = serde_json::from_str(line).expect("counters as JSON");
+    let line = log.lines().find_map(|line| line.split_once(&prefix)).expect("final counters in the log").1;
+    let counters: HashMap<String, u32> = serde_json::from_str(line).expect("parse the counters as JSON");
     let names = ["served", "broken", "refused", "failed", "overdue", "left"];
     let final_answers: u32 = names.iter().map(|name| counters[*name]).sum();
     assert_eq!((counters["taken"], final_answers), (REQUESTS / 2, REQUESTS / 2), "{line}");
@@ -245,14 +249,14 @@
     router.wait_for_log("ready endpoint_list=\"discovery\"");
     let results = send_requests(&base);
     let log = router.terminate();
-    let arrivals = arrivals.lock().expect("the counts");
+    let arrivals = arrivals.lock().expect("lock the arrival counts");
     for (number, result) in &results {
         assert_result(*number, result, arrivals.get(&number.to_string()).copied().unwrap_or(0));
     }
     // Connections are reused after a short idle time.
     assert!(!log.contains("\"reuses\":0,"), "{log}");
     let complete = results.iter().filter(|(_, result)| *result == ClientResult::Complete).count();
-    assert!(complete as u32 > REQUESTS / 2, "only {complete} were served:\n{log}");
+    assert!(complete as u32 > REQUESTS / 2, "only {complete} requests were completed:\n{log}");
     for api in ["platform", "chat"] {
         assert_counters(&log, api);
     }
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -20,10 +20,10 @@
 }
 
 fn create_authority() -> Authority {
-    let key = KeyPair::generate().expect("a key");
-    let mut params = CertificateParams::new(Vec::new()).expect("parameters");
+    let key = KeyPair::generate().expect("generate a key");
+    let mut params = CertificateParams::new(Vec::new()).expect("create certificate parameters");
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-    let made = params.self_signed(&key).expect("a certificate");
+    let made = params.self_signed(&key).expect("sign the CA certificate");
     let certificate = made.der().clone();
     let pem = made.pem();
     Authority { issuer: Issuer::new(params, key), certificate, pem }
@@ -38,31 +38,34 @@
 
 /// Creates an identity whose certificate contains these URIs.
 fn create_identity(authority: &Authority, uris: &[&str]) -> Identity {
-    let key = KeyPair::generate().expect("a key");
-    let mut params = CertificateParams::new(vec!["chat".into()]).expect("parameters");
-    params.subject_alt_names.extend(uris.iter().map(|uri| SanType::URI((*uri).try_into().expect("a URI"))));
+    let key = KeyPair::generate().expect("generate a key");
+    let mut params = CertificateParams::new(vec!["chat".into()]).expect("create certificate parameters");
+    params
+        .subject_alt_names
+        .extend(uris.iter().map(|uri| SanType::URI((*uri).try_into().expect("valid URI"))));
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ClientAuth, ExtendedKeyUsagePurpose::ServerAuth];
-    let made = params.signed_by(&key, &authority.issuer).expect("a certificate");
+    let made = params.signed_by(&key, &authority.issuer).expect("sign the certificate");
     Identity { pem: made.pem(), certificate: made.der().clone(), key }
 }
 
 /// Sends `GET /v1/models` with this identity and returns the response, or the error if there is none.
 fn get_models(address: &str, trusted: &Authority, identity: Option<Identity>) -> std::io::Result<String> {
     let mut roots = RootCertStore::empty();
-    roots.add(trusted.certificate.clone()).expect("a root");
+    roots.add(trusted.certificate.clone()).expect("add the root certificate");
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
-    let config = config.expect("versions").with_root_certificates(roots);
+    let config = config.expect("supported TLS versions").with_root_certificates(roots);
     let config = match identity {
         Some(identity) => {
-            let key = PrivateKeyDer::try_from(identity.key.serialize_der()).expect("a key");
-            config.with_client_auth_cert(vec![identity.certificate], key).expect("an identity")
+            let key = PrivateKeyDer::try_from(identity.key.serialize_der()).expect("parse the key");
+            config.with_client_auth_cert(vec![identity.certificate], key).expect("use the client certificate")
         }
         None => config.with_no_client_auth(),
     };
-    let mut session = ClientConnection::new(Arc::new(config), ServerName::try_from("chat").expect("a name"))
-        .map_err(std::io::Error::other)?;
+    let mut session =
+        ClientConnection::new(Arc::new(config), ServerName::try_from("chat").expect("valid server name"))
+            .map_err(std::io::Error::other)?;
     let mut socket = TcpStream::connect(address)?;
     let mut stream = Stream::new(&mut session, &mut socket);
     stream.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\nConnection: close\r\n\r\n")?;
@@ -92,10 +95,10 @@
     let get_models_as = |authority: &Authority, uris: &[&str]| {
         get_models(&chat_address, &ours, Some(create_identity(authority, uris)))
     };
-    let served = get_models_as(&ours, &[ALLOWED_ID]).expect("an allowed identity is answered");
+    let served = get_models_as(&ours, &[ALLOWED_ID]).expect("response for an allowed identity");
     assert!(served.starts_with("HTTP/1.1 200 OK") && served.contains("climb-assist"), "{served}");
     let denied = get_models_as(&ours, &["spiffe://hanbit.example/partner/other"])
-        .expect("another one is answered too");
+        .expect("response for a denied identity");
     assert!(denied.starts_with("HTTP/1.1 403") && denied.contains("identity_not_allowed"), "{denied}");
     // Not answered: no URI, two URIs, a URI that is not a SPIFFE ID, an untrusted authority, no certificate.
     assert!(get_models_as(&ours, &[]).is_err());
@@ -109,8 +112,8 @@
     file(&base, "bundle.pem", &format!("{}{}", ours.pem, theirs.pem));
     assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK")));
     // Without TLS there is no HTTP response either.
-    let mut plain = TcpStream::connect(&chat_address).expect("it listens");
-    plain.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\n\r\n").expect("it reads");
+    let mut plain = TcpStream::connect(&chat_address).expect("connect to the router");
+    plain.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\n\r\n").expect("send the request");
     let mut text = Vec::new();
     let _ = plain.read_to_end(&mut text);
     assert!(!text.starts_with(b"HTTP"), "{}", String::from_utf8_lossy(&text));
--- a/tests/tenants_and_keys.rs
+++ b/tests/tenants_and_keys.rs
@@ -71,13 +71,13 @@
     let mut first_ids: Vec<String> = Vec::new();
     for _ in 0..4 {
         let received = prefill_stub.accept().read_message();
-        first_ids.push(received.header("request-id").expect("an id").to_owned());
+        first_ids.push(received.header("request-id").expect("Request-Id header").to_owned());
     }
     first_ids.sort();
     assert_eq!(
         first_ids,
         ["large-1", "large-2", "large-3", "small-1"],
-        "the others are beyond their tenant's quota"
+        "the other requests exceed their tenant's quota"
     );
     clients.into_iter().for_each(Connection::close);
     router.process.terminate();
