--- a/src/server/client_stream.rs
+++ b/src/server/client_stream.rs
@@ -90,9 +90,9 @@
     /// Waits for the client to close the connection after sending more bytes than its current request has.
     /// The HTTP library stops reading at the end of the request and would not detect the close. The
     /// connection is closed after the response anyway, so the excess bytes are discarded.
-    pub async fn closed_behind_request(&self) {
+    pub async fn closed_after_excess_bytes(&self) {
         let discard_excess = |cx: &mut Context<'_>| {
-            if self.state.has_bytes_beyond_request() { self.poll_discard(cx) } else { Poll::Pending }
+            if self.state.has_excess_bytes() { self.poll_discard(cx) } else { Poll::Pending }
         };
         while poll_fn(discard_excess).await == Discarded::Bytes {
             sleep(DISCARD_INTERVAL).await;
--- a/src/server/close_reason.rs
+++ b/src/server/close_reason.rs
@@ -33,7 +33,7 @@
 
 impl CloseReason {
     /// Returns the reason for closing a connection whose deadline expired in this stage.
-    pub fn overdue(stage: ConnectionStage) -> Self {
+    pub fn for_expired_deadline(stage: ConnectionStage) -> Self {
         match stage {
             ConnectionStage::Silent | ConnectionStage::Idle => CloseReason::Idle,
             _ => CloseReason::SlowHead,
@@ -65,13 +65,13 @@
     }
 }
 
-/// Returns whether a connection may be evicted, given its stage and the time that its client has used.
-pub fn may_be_evicted(stage: ConnectionStage, time_used: Duration) -> bool {
+/// Returns whether a connection may be evicted, given its stage and the elapsed time of its client's timer.
+pub fn is_evictable(stage: ConnectionStage, timer_elapsed: Duration) -> bool {
     match stage {
         ConnectionStage::Idle => true,
-        ConnectionStage::Lingering => time_used >= MIN_LINGERING_AGE,
-        ConnectionStage::Silent => time_used >= MIN_SILENT_AGE,
-        ConnectionStage::ReadingHead => time_used >= MIN_PARTIAL_HEAD_AGE,
+        ConnectionStage::Lingering => timer_elapsed >= MIN_LINGERING_AGE,
+        ConnectionStage::Silent => timer_elapsed >= MIN_SILENT_AGE,
+        ConnectionStage::ReadingHead => timer_elapsed >= MIN_PARTIAL_HEAD_AGE,
         ConnectionStage::InRequest | ConnectionStage::Flushing => false,
     }
 }
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -13,7 +13,7 @@
 use super::client_stream::{ClientIo, ClientStream};
 use super::close_reason::CloseReason;
 use super::connection_limits::ConnectionSlot;
-use super::connection_state::{ClientState, MAX_HEAD_SIZE, Persistence, RequestVerdict};
+use super::connection_state::{ClientState, MAX_HEAD_SIZE, Persistence, RequestValidity};
 use super::handler::{RequestHandler, ServerResponse};
 use super::response::set_connection_close;
 use crate::shutdown::{CONNECT_GRACE, Shutdown, ShutdownGuard};
@@ -34,16 +34,16 @@
     let client = guard.slot.client.clone();
     let counters = handler.counters();
     let stream = ClientStream::new(io, client.clone());
-    let remaining_stream = stream.handle();
+    let linger_stream = stream.handle();
     let service_client = client.clone();
     let service = service_fn(move |request| answer_request(handler.clone(), service_client.clone(), request));
     let http =
         http1::Builder::new().max_buf_size(MAX_HEAD_SIZE).serve_connection(TokioIo::new(stream), service);
     // Boxed so that it can be dropped before lingering.
     let mut http = Box::pin(http);
-    let mut drained = Box::pin(ready_to_drain(&shutdown, &client));
+    let mut drain_ready = Box::pin(ready_to_drain(&shutdown, &client));
     let mut deadline = Box::pin(client.deadline_passed());
-    let mut closed_behind_request = Box::pin(remaining_stream.closed_behind_request());
+    let mut closed_after_excess_bytes = Box::pin(linger_stream.closed_after_excess_bytes());
     let mut is_draining = false;
     let reason = loop {
         tokio::select! {
@@ -58,9 +58,9 @@
                 }
                 break CloseReason::Ended;
             }
-            () = &mut deadline => break CloseReason::overdue(client.stage()),
-            () = &mut closed_behind_request => break CloseReason::ClosedBehindRequest,
-            () = &mut drained, if !is_draining => {
+            () = &mut deadline => break CloseReason::for_expired_deadline(client.stage()),
+            () = &mut closed_after_excess_bytes => break CloseReason::ClosedBehindRequest,
+            () = &mut drain_ready, if !is_draining => {
                 is_draining = true;
                 http.as_mut().graceful_shutdown();
             }
@@ -71,10 +71,10 @@
         return;
     }
     drop(http);
-    drop(closed_behind_request);
+    drop(closed_after_excess_bytes);
     // The guard is held until the client has closed: if the process exited earlier, the connection would be
     // reset and the client would lose bytes that it has not read.
-    remaining_stream.linger().await;
+    linger_stream.linger().await;
     drop(guard);
 }
 
@@ -86,7 +86,7 @@
     let arrival = client.request_started(&request);
     request.extensions_mut().insert(arrival);
     let mut response = handler.handle(request).await;
-    if client.request_answered(verdict(response.status())) == Persistence::Close {
+    if client.request_answered(request_validity(response.status())) == Persistence::Close {
         set_connection_close(&mut response);
     }
     match response.body_mut() {
@@ -97,11 +97,11 @@
 }
 
 /// Classifies a request by the status of its response.
-fn verdict(status: StatusCode) -> RequestVerdict {
+fn request_validity(status: StatusCode) -> RequestValidity {
     if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
-        RequestVerdict::Invalid
+        RequestValidity::Invalid
     } else {
-        RequestVerdict::Valid
+        RequestValidity::Valid
     }
 }
 
--- a/src/server/connection_limits.rs
+++ b/src/server/connection_limits.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::close_reason::may_be_evicted;
+use super::close_reason::is_evictable;
 use super::connection_state::ClientState;
 
 /// Connections accepted beyond the limit, so that their clients get a 429 instead of no response.
@@ -120,7 +120,7 @@
     fn evict_one(&self) {
         let connections = self.connections.borrow();
         let candidates =
-            connections.values().filter(|client| may_be_evicted(client.stage(), client.time_used()));
+            connections.values().filter(|client| is_evictable(client.stage(), client.timer_elapsed()));
         if let Some(client) = candidates.min_by_key(|client| client.eviction_order()) {
             client.evict();
         }
--- a/src/server/connection_state.rs
+++ b/src/server/connection_state.rs
@@ -71,22 +71,22 @@
 #[derive(Clone, Copy, Debug)]
 struct StageEntry {
     stage: ConnectionStage,
-    /// When the client's time started to run: when it could have started to send its request, or when the
+    /// When the client's timer started: when the client could have started to send its request, or when the
     /// stage was entered.
-    clock_started: Instant,
+    timer_started: Instant,
     entered: Instant,
 }
 
 impl StageEntry {
-    /// Creates an entry for a stage that begins now and restarts the client's time.
+    /// Creates an entry for a stage that begins now and restarts the client's timer.
     fn now(stage: ConnectionStage) -> Self {
         let now = Instant::now();
-        StageEntry { stage, clock_started: now, entered: now }
+        StageEntry { stage, timer_started: now, entered: now }
     }
 
     /// Returns when a client that has not sent a complete head is disconnected.
     fn deadline(&self) -> Option<Instant> {
-        let head_deadline = self.clock_started + HEAD_TIMEOUT;
+        let head_deadline = self.timer_started + HEAD_TIMEOUT;
         match self.stage {
             ConnectionStage::Silent | ConnectionStage::Idle => Some(head_deadline),
             ConnectionStage::ReadingHead => Some(head_deadline.max(self.entered + MIN_HEAD_TIME)),
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RequestArrival {
     /// Earliest time at which the client could have started to send the request.
-    pub can_send_since: Instant,
+    pub earliest_start: Instant,
     /// Whether the head specified the body length in two ways. Part of the body may be intended as another
     /// request (request smuggling).
     pub conflicting_lengths: bool,
@@ -128,7 +128,7 @@
 
 /// Whether a request counts as rejected for its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestVerdict {
+pub enum RequestValidity {
     /// Answered, or rejected for lack of capacity.
     Valid,
     /// Rejected as invalid.
@@ -172,24 +172,24 @@
         self.stage.borrow().stage
     }
 
-    /// Returns how much time the client has used in this stage.
-    pub fn time_used(&self) -> Duration {
-        self.stage.borrow().clock_started.elapsed()
+    /// Returns the time since the client's timer was started.
+    pub fn timer_elapsed(&self) -> Duration {
+        self.stage.borrow().timer_started.elapsed()
     }
 
     /// Returns the eviction sort key. The lowest one is evicted first.
     pub fn eviction_order(&self) -> (ConnectionStage, Instant) {
         let entry = *self.stage.borrow();
-        (entry.stage, entry.clock_started)
+        (entry.stage, entry.timer_started)
     }
 
-    /// Enters a stage and restarts the client's time.
+    /// Enters a stage and restarts the client's timer.
     fn enter(&self, stage: ConnectionStage) {
         self.stage.send_replace(StageEntry::now(stage));
     }
 
-    /// Enters a stage without restarting the client's time.
-    fn enter_keeping_clock(&self, stage: ConnectionStage) {
+    /// Enters a stage without restarting the client's timer.
+    fn enter_keeping_timer(&self, stage: ConnectionStage) {
         self.stage.send_modify(|entry| {
             entry.stage = stage;
             entry.entered = Instant::now();
@@ -198,13 +198,13 @@
 
     /// Records received bytes. The first byte of a head changes `Silent` and `Idle` to `ReadingHead`.
     pub fn bytes_received(&self, bytes: &[u8]) {
-        let head_begins = self.scanner.borrow_mut().receive(bytes);
-        if !head_begins {
+        let head_started = self.scanner.borrow_mut().receive(bytes);
+        if !head_started {
             return;
         }
         match self.stage() {
-            // The time for the first request starts when the connection is accepted.
-            ConnectionStage::Silent => self.enter_keeping_clock(ConnectionStage::ReadingHead),
+            // The timer of the first request starts when the connection is accepted.
+            ConnectionStage::Silent => self.enter_keeping_timer(ConnectionStage::ReadingHead),
             ConnectionStage::Idle => self.enter(ConnectionStage::ReadingHead),
             _ => {}
         }
@@ -213,21 +213,21 @@
     /// Records that the HTTP library has parsed a request head. Enters `InRequest`, in which no deadline
     /// applies and the connection is not evicted.
     pub fn request_started(&self, request: &Request<Incoming>) -> RequestArrival {
-        let can_send_since = self.stage.borrow().clock_started;
+        let earliest_start = self.stage.borrow().timer_started;
         self.enter(ConnectionStage::InRequest);
         let body_length = BodyLength::of(request);
         self.body_length.set(Some(body_length));
         let head = self.scanner.borrow_mut().take_head();
         let may_have_length = !head.is_complete || head.has_header(CONTENT_LENGTH.as_str());
         let conflicting_lengths = body_length == BodyLength::Chunked && may_have_length;
-        RequestArrival { can_send_since, conflicting_lengths }
+        RequestArrival { earliest_start, conflicting_lengths }
     }
 
     /// Returns whether more bytes were received than belong to the current request. The HTTP library does not
     /// read past the request until it is answered.
-    pub fn has_bytes_beyond_request(&self) -> bool {
+    pub fn has_excess_bytes(&self) -> bool {
         match self.body_length.get() {
-            Some(BodyLength::Known(length)) => self.scanner.borrow().bytes_behind() > length,
+            Some(BodyLength::Known(length)) => self.scanner.borrow().bytes_after_head() > length,
             Some(BodyLength::Chunked) | None => false,
         }
     }
@@ -236,12 +236,12 @@
     /// when the response is complete. The connection is not reused unless the number of received bytes is
     /// known to match the length of the request, as the start of the next request would be unknown otherwise,
     /// nor after too many rejected requests.
-    pub fn request_answered(&self, verdict: RequestVerdict) -> Persistence {
-        if verdict == RequestVerdict::Invalid {
+    pub fn request_answered(&self, validity: RequestValidity) -> Persistence {
+        if validity == RequestValidity::Invalid {
             self.rejected_requests.set(self.rejected_requests.get() + 1);
         }
         let mut scanner = self.scanner.borrow_mut();
-        let received = BodyLength::Known(scanner.bytes_behind());
+        let received = BodyLength::Known(scanner.bytes_after_head());
         scanner.next_request();
         let is_delimited = self.body_length.take() == Some(received);
         if is_delimited && self.rejected_requests.get() < MAX_REJECTED_REQUESTS {
--- a/src/server/head_scanner.rs
+++ b/src/server/head_scanner.rs
@@ -9,7 +9,7 @@
 use super::connection_state::MAX_HEAD_SIZE;
 
 /// Maximum number of bytes kept of an unterminated head. The HTTP library rejects such a head long before.
-const MAX_KEPT_HEAD: usize = 2 * MAX_HEAD_SIZE;
+const MAX_RETAINED_HEAD_SIZE: usize = 2 * MAX_HEAD_SIZE;
 
 /// Position of a byte stream relative to the current request head, with the bytes kept of that head.
 pub(super) enum HeadScanner {
@@ -19,12 +19,12 @@
         head: Vec<u8>,
     },
     /// After a head.
-    PastHead {
+    AfterHead {
         /// The head; empty after it was taken.
         head: Vec<u8>,
         /// Number of bytes received after the head: the body of the current request and anything that
         /// follows.
-        bytes_behind: u64,
+        bytes_after_head: u64,
     },
 }
 
@@ -55,50 +55,50 @@
     /// Processes received bytes. Returns whether they start a new head.
     pub(super) fn receive(&mut self, bytes: &[u8]) -> bool {
         let head = match self {
-            HeadScanner::PastHead { bytes_behind, .. } => {
-                *bytes_behind += bytes.len() as u64;
+            HeadScanner::AfterHead { bytes_after_head, .. } => {
+                *bytes_after_head += bytes.len() as u64;
                 return false;
             }
             HeadScanner::InHead { head } => head,
         };
-        let begins = head.is_empty();
-        let head_bytes = if begins { skip_empty_lines(bytes) } else { bytes };
-        if begins && head_bytes.is_empty() {
+        let starts_head = head.is_empty();
+        let head_bytes = if starts_head { skip_empty_lines(bytes) } else { bytes };
+        if starts_head && head_bytes.is_empty() {
             return false;
         }
         // The terminator may span the previous bytes and these.
         let search_from = head.len().saturating_sub(3);
         head.extend_from_slice(head_bytes);
         if let Some(end) = find_head_end(head, search_from) {
-            let bytes_behind = (head.len() - end) as u64;
+            let bytes_after_head = (head.len() - end) as u64;
             head.truncate(end);
-            *self = HeadScanner::PastHead { head: mem::take(head), bytes_behind };
-        } else if head.len() > MAX_KEPT_HEAD {
-            *self = HeadScanner::PastHead { head: mem::take(head), bytes_behind: 0 };
+            *self = HeadScanner::AfterHead { head: mem::take(head), bytes_after_head };
+        } else if head.len() > MAX_RETAINED_HEAD_SIZE {
+            *self = HeadScanner::AfterHead { head: mem::take(head), bytes_after_head: 0 };
         }
-        begins
+        starts_head
     }
 
     /// Takes the head of the request that the HTTP library has parsed.
     pub(super) fn take_head(&mut self) -> RawHead {
         match self {
             HeadScanner::InHead { head } => RawHead { bytes: mem::take(head), is_complete: false },
-            HeadScanner::PastHead { head, .. } => RawHead { bytes: mem::take(head), is_complete: true },
+            HeadScanner::AfterHead { head, .. } => RawHead { bytes: mem::take(head), is_complete: true },
         }
     }
 
     /// Returns the number of bytes received after the head.
-    pub(super) fn bytes_behind(&self) -> u64 {
+    pub(super) fn bytes_after_head(&self) -> u64 {
         match self {
             HeadScanner::InHead { .. } => 0,
-            HeadScanner::PastHead { bytes_behind, .. } => *bytes_behind,
+            HeadScanner::AfterHead { bytes_after_head, .. } => *bytes_after_head,
         }
     }
 
     /// Moves on to the next request head. None of its bytes can have been received, because a connection with
     /// excess bytes is closed.
     pub(super) fn next_request(&mut self) {
-        if let HeadScanner::PastHead { head, .. } = self {
+        if let HeadScanner::AfterHead { head, .. } = self {
             *self = HeadScanner::InHead { head: mem::take(head) };
         }
     }
@@ -106,15 +106,15 @@
     /// Returns whether no head bytes are stored.
     pub(super) fn is_empty(&self) -> bool {
         match self {
-            HeadScanner::InHead { head } | HeadScanner::PastHead { head, .. } => head.is_empty(),
+            HeadScanner::InHead { head } | HeadScanner::AfterHead { head, .. } => head.is_empty(),
         }
     }
 }
 
 /// Strips the empty lines that a client may send before a request.
 fn skip_empty_lines(bytes: &[u8]) -> &[u8] {
-    let begin = bytes.iter().position(|byte| !matches!(byte, b'\r' | b'\n')).unwrap_or(bytes.len());
-    &bytes[begin..]
+    let start = bytes.iter().position(|byte| !matches!(byte, b'\r' | b'\n')).unwrap_or(bytes.len());
+    &bytes[start..]
 }
 
 /// Returns the offset just after the first empty line at or after `from`, where the body starts.
--- a/src/server/request_body.rs
+++ b/src/server/request_body.rs
@@ -68,8 +68,8 @@
 ) -> Result<ReceivedBody, BodyError> {
     let now = Instant::now();
     let arrival = request.extensions().get::<RequestArrival>();
-    let can_send_since = arrival.map_or(now, |arrival| arrival.can_send_since);
-    let deadline = (can_send_since + REQUEST_TIMEOUT).max(now + MIN_BODY_TIME);
+    let earliest_start = arrival.map_or(now, |arrival| arrival.earliest_start);
+    let deadline = (earliest_start + REQUEST_TIMEOUT).max(now + MIN_BODY_TIME);
     let mut body = pin!(request.body_mut());
     let announced = body.size_hint().lower();
     if announced > MAX_DISCARDED_SIZE as u64 {
