--- a/src/server/api_context.rs
+++ b/src/server/api_context.rs
@@ -48,7 +48,7 @@
 
     /// Returns whether a request that has just been read must be shed, because the connection limit is
     /// exceeded or the process is about to exit.
-    pub(super) fn sheds_new_requests(&self) -> bool {
+    pub(super) fn should_shed(&self) -> bool {
         self.limiter.over_limit() || self.shutdown.rejects_requests()
     }
 
@@ -56,12 +56,12 @@
     /// scheduler, so it is safe to retry.
     pub(super) fn record_shed(&self) -> Option<Micros> {
         self.counters().shed.increment();
-        self.max_retry_after.map(|longest| longest.min(MAX_SHED_RETRY_AFTER))
+        self.max_retry_after.map(|limit| limit.min(MAX_SHED_RETRY_AFTER))
     }
 
     /// Closes the connection after this response if its client should connect to another replica: during
     /// shutdown, or while the connection limit is exceeded.
-    pub(super) fn close_if_unwanted(&self, response: &mut ServerResponse) {
+    pub(super) fn close_if_draining_or_over_limit(&self, response: &mut ServerResponse) {
         if self.shutdown.has_begun() || self.limiter.over_limit() {
             set_connection_close(response);
         }
--- a/src/server/chat_api/completion.rs
+++ b/src/server/chat_api/completion.rs
@@ -15,9 +15,9 @@
 pub(super) const MAX_TOKENS_PER_REQUEST: u32 = 1 << 20;
 /// Multiple of the inter-token objective within which a unary response must be generated before its client
 /// gives up.
-const UNARY_OBJECTIVE_MULTIPLE: Micros = 2;
+const UNARY_INTER_TOKEN_FACTOR: Micros = 2;
 /// Number of leading messages that identify a conversation. They stay the same from turn to turn.
-const SESSION_MESSAGES: usize = 2;
+const SESSION_KEY_MESSAGES: usize = 2;
 
 /// A chat completion request. Error messages for malformed bodies show the names of these types to clients.
 #[derive(Deserialize)]
@@ -58,7 +58,7 @@
     }
 
     /// Returns the length of the text in characters.
-    fn characters(&self) -> usize {
+    fn char_count(&self) -> usize {
         self.texts().iter().map(|text| text.chars().count()).sum()
     }
 
@@ -85,12 +85,12 @@
         let requested_tokens = self.max_completion_tokens.or(self.max_tokens);
         let max_tokens = requested_tokens.unwrap_or(config.default_max_tokens);
         if !(1..=MAX_TOKENS_PER_REQUEST).contains(&max_tokens) {
-            return Err(ChatError::MaxTokens);
+            return Err(ChatError::MaxTokensOutOfRange);
         }
         let mut spec = RequestSpec {
             class,
             session: Some(self.session()),
-            prompt_tokens: estimated_tokens(self.messages.iter().map(Message::characters).sum()),
+            prompt_tokens: estimate_tokens(self.messages.iter().map(Message::char_count).sum()),
             max_output_tokens: f64::from(max_tokens),
             client_timeout: config.settings.classes[class.0].deadline,
             unary: self.stream != Some(true),
@@ -99,14 +99,14 @@
         // The first message, usually the system prompt, is shared with other conversations.
         if self.messages.len() > 1 {
             spec.prefix = Some(CacheKey(first_message.hash(0)));
-            spec.prefix_tokens = estimated_tokens(first_message.characters());
+            spec.prefix_tokens = estimate_tokens(first_message.char_count());
         }
         if spec.unary {
             // A unary response arrives with its last token instead of its first, so generation time is added.
             let inter_token_objective = config.settings.classes[class.0].inter_token_objective;
-            let slowest_token = inter_token_objective * UNARY_OBJECTIVE_MULTIPLE;
-            let writing_time = Micros::from(max_tokens).saturating_mul(slowest_token);
-            spec.client_timeout = spec.client_timeout.saturating_add(writing_time);
+            let max_inter_token_time = inter_token_objective * UNARY_INTER_TOKEN_FACTOR;
+            let generation_time = Micros::from(max_tokens).saturating_mul(max_inter_token_time);
+            spec.client_timeout = spec.client_timeout.saturating_add(generation_time);
         }
         Ok(spec)
     }
@@ -116,7 +116,7 @@
         match &self.prompt_cache_key {
             Some(key) => CacheKey(xxh3_64(key.as_bytes())),
             None => {
-                let messages = self.messages.iter().take(SESSION_MESSAGES);
+                let messages = self.messages.iter().take(SESSION_KEY_MESSAGES);
                 CacheKey(messages.fold(0, |hash, message| message.hash(hash)))
             }
         }
@@ -124,6 +124,6 @@
 }
 
 /// Estimates the number of tokens in a text of this length.
-fn estimated_tokens(characters: usize) -> f64 {
-    (characters as f64 / CHARACTERS_PER_TOKEN).max(1.0)
+fn estimate_tokens(char_count: usize) -> f64 {
+    (char_count as f64 / CHARACTERS_PER_TOKEN).max(1.0)
 }
--- a/src/server/chat_api/error.rs
+++ b/src/server/chat_api/error.rs
@@ -29,7 +29,7 @@
     NoMessages,
     /// The requested number of tokens is out of range.
     #[error("max_tokens: must lie between 1 and {MAX_TOKENS_PER_REQUEST}")]
-    MaxTokens,
+    MaxTokensOutOfRange,
     /// The head specifies the body length in two ways.
     #[error("Content-Length and Transfer-Encoding exclude each other")]
     ConflictingLengths,
@@ -44,7 +44,7 @@
     UnknownPath(String),
     /// The path requires the given method.
     #[error("this path takes {0}")]
-    Method(&'static str),
+    MethodNotAllowed(&'static str),
     /// The client's identity is not allowed.
     #[error("the identity {0} may not use this service")]
     IdentityDenied(Rc<str>),
@@ -72,13 +72,13 @@
         let (status, name, code) = match self {
             ChatError::MalformedBody(_)
             | ChatError::NoMessages
-            | ChatError::MaxTokens
+            | ChatError::MaxTokensOutOfRange
             | ChatError::ConflictingLengths => (StatusCode::BAD_REQUEST, INVALID_REQUEST, None),
             ChatError::UnknownModel(_) => (StatusCode::NOT_FOUND, INVALID_REQUEST, Some("model_not_found")),
             ChatError::Body(BodyError::TooLarge) => (StatusCode::PAYLOAD_TOO_LARGE, INVALID_REQUEST, None),
             ChatError::Body(_) => (StatusCode::BAD_REQUEST, INVALID_REQUEST, None),
             ChatError::UnknownPath(_) => (StatusCode::NOT_FOUND, INVALID_REQUEST, Some("unknown_url")),
-            ChatError::Method(_) => (StatusCode::METHOD_NOT_ALLOWED, INVALID_REQUEST, None),
+            ChatError::MethodNotAllowed(_) => (StatusCode::METHOD_NOT_ALLOWED, INVALID_REQUEST, None),
             ChatError::IdentityDenied(_) => {
                 (StatusCode::FORBIDDEN, "permission_error", Some("identity_not_allowed"))
             }
--- a/src/server/chat_api/mod.rs
+++ b/src/server/chat_api/mod.rs
@@ -64,7 +64,7 @@
             Ok(response) => response,
             Err(error) => self.error_response(&error),
         };
-        self.context.close_if_unwanted(&mut response);
+        self.context.close_if_draining_or_over_limit(&mut response);
         response
     }
 }
@@ -95,13 +95,13 @@
         }
         match (request.method(), request.uri().path()) {
             (&Method::POST, COMPLETIONS_PATH) => self.complete(request).await,
-            (_, COMPLETIONS_PATH) => Err(ChatError::Method("POST")),
+            (_, COMPLETIONS_PATH) => Err(ChatError::MethodNotAllowed("POST")),
             (&Method::GET, MODELS_PATH) => Ok(self.list_models()),
             (&Method::GET, READY_PATH) => Ok(complete_response(StatusCode::OK, None, "ready\n")),
             (&Method::GET, COUNTERS_PATH) => {
                 Ok(json_response(StatusCode::OK, &self.context.counters().all()))
             }
-            (_, MODELS_PATH | READY_PATH | COUNTERS_PATH) => Err(ChatError::Method("GET")),
+            (_, MODELS_PATH | READY_PATH | COUNTERS_PATH) => Err(ChatError::MethodNotAllowed("GET")),
             (_, path) => Err(ChatError::UnknownPath(path.to_owned())),
         }
     }
@@ -133,14 +133,14 @@
             return Err(ChatError::ConflictingLengths);
         }
         let body = match self.context.read_body(&mut request, BodyUse::Keep).await {
-            Err(BodyError::NoRoom) => return Err(self.shed()),
+            Err(BodyError::MemoryLimit) => return Err(self.shed()),
             read => read?,
         };
         let completion: Completion = serde_json::from_slice(&body.bytes).map_err(ChatError::MalformedBody)?;
         let mut spec = completion.to_spec(&self.config)?;
         spec.is_retry = retry_count(request.headers()) > 0;
         spec.client_timeout -= arrived_at.elapsed().as_micros() as Micros;
-        if self.context.sheds_new_requests() {
+        if self.context.should_shed() {
             return Err(self.shed());
         }
         let id = self.request_ids.next();
--- a/src/server/platform_api/headers.rs
+++ b/src/server/platform_api/headers.rs
@@ -115,7 +115,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientRetry {
     /// The client's first request.
-    FirstTry,
+    Initial,
     /// Repeats a request that failed.
     Retry,
     /// Resumes a stream that broke.
@@ -124,7 +124,7 @@
 
 fn parse_client_retry(headers: &HeaderMap) -> Result<ClientRetry, InvalidRequest> {
     match optional_header(headers, CLIENT_RETRY)? {
-        None => Ok(ClientRetry::FirstTry),
+        None => Ok(ClientRetry::Initial),
         Some("1") => Ok(ClientRetry::Retry),
         Some("again") => Ok(ClientRetry::Resumption),
         Some(_) => Err(InvalidRequest::MalformedHeader { name: CLIENT_RETRY, expected: "1 or again" }),
--- a/src/server/platform_api/invalid_request.rs
+++ b/src/server/platform_api/invalid_request.rs
@@ -38,7 +38,7 @@
     UnknownPath,
     /// The path requires the given method.
     #[error("this path takes {0}")]
-    Method(&'static str),
+    MethodNotAllowed(&'static str),
 }
 
 impl InvalidRequest {
@@ -47,14 +47,14 @@
         match self {
             InvalidRequest::DuplicateId(_) => StatusCode::CONFLICT,
             InvalidRequest::Body(BodyError::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
-            InvalidRequest::Body(BodyError::Slow) => StatusCode::REQUEST_TIMEOUT,
+            InvalidRequest::Body(BodyError::TimedOut) => StatusCode::REQUEST_TIMEOUT,
             InvalidRequest::UnknownPath => StatusCode::NOT_FOUND,
-            InvalidRequest::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
+            InvalidRequest::MethodNotAllowed(_) => StatusCode::METHOD_NOT_ALLOWED,
             InvalidRequest::MissingHeader(_)
             | InvalidRequest::MalformedHeader { .. }
             | InvalidRequest::UnknownClass(_)
             | InvalidRequest::UnknownTenant(_)
-            | InvalidRequest::Body(BodyError::NoRoom | BodyError::Broken(_))
+            | InvalidRequest::Body(BodyError::MemoryLimit | BodyError::ReadFailed(_))
             | InvalidRequest::ConflictingLengths => StatusCode::BAD_REQUEST,
         }
     }
--- a/src/server/platform_api/mod.rs
+++ b/src/server/platform_api/mod.rs
@@ -48,7 +48,7 @@
 
     async fn handle(self, request: Request<Incoming>) -> ServerResponse {
         let mut response = self.route(request).await;
-        self.context.close_if_unwanted(&mut response);
+        self.context.close_if_draining_or_over_limit(&mut response);
         response
     }
 }
@@ -78,7 +78,7 @@
             (&Method::GET, COUNTERS_PATH) => {
                 text_response(StatusCode::OK, self.context.counters().to_json() + "\n")
             }
-            (_, READY_PATH | COUNTERS_PATH) => error_response(&InvalidRequest::Method("GET")),
+            (_, READY_PATH | COUNTERS_PATH) => error_response(&InvalidRequest::MethodNotAllowed("GET")),
             _ => error_response(&InvalidRequest::UnknownPath),
         }
     }
@@ -105,7 +105,7 @@
 
     async fn complete(&self, mut request: Request<Incoming>) -> Result<ServerResponse, InvalidRequest> {
         if request.method() != Method::POST {
-            return Err(InvalidRequest::Method("POST"));
+            return Err(InvalidRequest::MethodNotAllowed("POST"));
         }
         if has_conflicting_lengths(&request) {
             return Err(InvalidRequest::ConflictingLengths);
@@ -114,11 +114,11 @@
         let parsed_head = RequestHead::parse(request.headers(), &self.names);
         let body_use = if parsed_head.is_ok() { BodyUse::Keep } else { BodyUse::Discard };
         let body = match self.context.read_body(&mut request, body_use).await {
-            Err(BodyError::NoRoom) => return Ok(self.shed()),
+            Err(BodyError::MemoryLimit) => return Ok(self.shed()),
             read => read?,
         };
         let RequestHead { id, spec } = parsed_head?;
-        if self.context.sheds_new_requests() {
+        if self.context.should_shed() {
             return Ok(self.shed());
         }
         let Some(open_request) = self.open_requests.register(&id) else {
--- a/src/server/request_body.rs
+++ b/src/server/request_body.rs
@@ -31,13 +31,13 @@
     TooLarge,
     /// Other request bodies use up the memory limit. The request is safe to retry.
     #[error("no room for the body")]
-    NoRoom,
+    MemoryLimit,
     /// The body did not arrive in time.
     #[error("the body took too long to arrive")]
-    Slow,
+    TimedOut,
     /// The connection failed before the end of the body.
     #[error("the body broke off: {0}")]
-    Broken(#[from] hyper::Error),
+    ReadFailed(#[from] hyper::Error),
 }
 
 /// What happens to the bytes of a body.
@@ -71,11 +71,11 @@
     let earliest_start = arrival.map_or(now, |arrival| arrival.earliest_start);
     let deadline = (earliest_start + REQUEST_TIMEOUT).max(now + MIN_BODY_TIME);
     let mut body = pin!(request.body_mut());
-    let announced = body.size_hint().lower();
-    if announced > MAX_DISCARDED_SIZE as u64 {
+    let announced_length = body.size_hint().lower();
+    if announced_length > MAX_DISCARDED_SIZE as u64 {
         return Err(BodyError::TooLarge);
     }
-    let mut buffer = BodyBuffer::new(body_use, announced, limiter.clone());
+    let mut buffer = BodyBuffer::new(body_use, announced_length, limiter.clone());
     let read_to_end = async {
         while let Some(frame) = body.frame().await {
             if let Ok(data) = frame?.into_data() {
@@ -84,7 +84,7 @@
         }
         Ok(())
     };
-    timeout_at(deadline, read_to_end).await.unwrap_or(Err(BodyError::Slow))?;
+    timeout_at(deadline, read_to_end).await.unwrap_or(Err(BodyError::TimedOut))?;
     buffer.finish()
 }
 
@@ -92,7 +92,7 @@
 struct BodyBuffer {
     body_use: BodyUse,
     /// Minimum body length in bytes announced by the head.
-    announced: u64,
+    announced_length: u64,
     received: usize,
     /// Whether `bytes` holds everything that was received.
     is_kept: bool,
@@ -101,10 +101,10 @@
 }
 
 impl BodyBuffer {
-    fn new(body_use: BodyUse, announced: u64, limiter: Rc<ConnectionLimiter>) -> Self {
+    fn new(body_use: BodyUse, announced_length: u64, limiter: Rc<ConnectionLimiter>) -> Self {
         BodyBuffer {
             body_use,
-            announced,
+            announced_length,
             received: 0,
             is_kept: body_use == BodyUse::Keep,
             bytes: BytesMut::new(),
@@ -123,7 +123,7 @@
             return Ok(());
         }
         if self.bytes.is_empty() {
-            self.bytes.reserve(self.announced.min(MAX_BODY_SIZE as u64) as usize);
+            self.bytes.reserve(self.announced_length.min(MAX_BODY_SIZE as u64) as usize);
         }
         self.bytes.extend_from_slice(data);
         Ok(())
@@ -135,7 +135,7 @@
             return Err(BodyError::TooLarge);
         }
         if self.body_use == BodyUse::Keep && !self.is_kept {
-            return Err(BodyError::NoRoom);
+            return Err(BodyError::MemoryLimit);
         }
         Ok(ReceivedBody { bytes: self.bytes.freeze(), allocation: self.allocation })
     }
--- a/src/server/spiffe.rs
+++ b/src/server/spiffe.rs
@@ -41,16 +41,16 @@
     },
     /// An entry of `allowed_ids` is not a SPIFFE ID.
     #[error("allowed_ids: \"{0}\" is not a SPIFFE ID")]
-    Id(String),
+    InvalidAllowedId(String),
     /// The TLS handshake failed.
     #[error(transparent)]
     Handshake(#[from] io::Error),
     /// The TLS handshake timed out.
     #[error("TLS handshake did not complete within {} s", HANDSHAKE_TIMEOUT.as_secs())]
-    Slow,
+    HandshakeTimeout,
     /// The client certificate does not contain exactly one valid SPIFFE ID.
     #[error("client certificate must contain exactly one SPIFFE ID as a URI")]
-    NoId,
+    NoSpiffeId,
 }
 
 impl IdentityError {
@@ -101,8 +101,8 @@
 /// Returns an error if the certificate cannot be parsed or does not contain exactly one URI that is a SPIFFE
 /// ID.
 pub fn spiffe_id(certificate: &[u8]) -> Result<String, IdentityError> {
-    let (_, certificate) = X509Certificate::from_der(certificate).map_err(|_| IdentityError::NoId)?;
-    let extension = certificate.subject_alternative_name().map_err(|_| IdentityError::NoId)?;
+    let (_, certificate) = X509Certificate::from_der(certificate).map_err(|_| IdentityError::NoSpiffeId)?;
+    let extension = certificate.subject_alternative_name().map_err(|_| IdentityError::NoSpiffeId)?;
     let mut uris = Vec::new();
     for name in extension.iter().flat_map(|names| &names.value.general_names) {
         if let GeneralName::URI(uri) = name {
@@ -111,7 +111,7 @@
     }
     match uris[..] {
         [id] if is_spiffe_id(id) => Ok(id.to_owned()),
-        _ => Err(IdentityError::NoId),
+        _ => Err(IdentityError::NoSpiffeId),
     }
 }
 
@@ -196,8 +196,8 @@
         for path in [&mut settings.certificate, &mut settings.key, &mut settings.trust_bundle] {
             *path = base.join(&*path);
         }
-        if let Some(malformed) = settings.allowed_ids.iter().find(|id| !is_spiffe_id(id)) {
-            return Err(IdentityError::Id(malformed.clone()));
+        if let Some(invalid) = settings.allowed_ids.iter().find(|id| !is_spiffe_id(id)) {
+            return Err(IdentityError::InvalidAllowedId(invalid.clone()));
         }
         let versions = settings.file_versions();
         let acceptor = settings.read_acceptor()?;
@@ -237,10 +237,10 @@
     pub async fn verify(&self, socket: TcpStream) -> Result<VerifiedClient, IdentityError> {
         let handshake = self.current_acceptor().accept(socket);
         let accepted = timeout(HANDSHAKE_TIMEOUT, handshake).await;
-        let stream = accepted.map_err(|_| IdentityError::Slow)??;
+        let stream = accepted.map_err(|_| IdentityError::HandshakeTimeout)??;
         let (_, session) = stream.get_ref();
         let chain = session.peer_certificates().unwrap_or_default();
-        let id = spiffe_id(chain.first().ok_or(IdentityError::NoId)?)?;
+        let id = spiffe_id(chain.first().ok_or(IdentityError::NoSpiffeId)?)?;
         let identity = self.authorize(id);
         Ok(VerifiedClient { stream, identity })
     }
