--- a/tests/both_apis.rs
+++ b/tests/both_apis.rs
@@ -171,12 +171,12 @@
     let Some(answer) = Message::read(&mut input) else { return ClientResult::ConnectionLost };
     // Exactly one final answer: nothing may follow on this connection.
     let _ = output.shutdown(Shutdown::Write);
-    let mut more = Vec::new();
-    let _ = input.read_to_end(&mut more);
+    let mut trailing = Vec::new();
+    let _ = input.read_to_end(&mut trailing);
     assert!(
-        more.is_empty(),
+        trailing.is_empty(),
         "unexpected data after the answer to request {number}: {}",
-        String::from_utf8_lossy(&more)
+        String::from_utf8_lossy(&trailing)
     );
     if answer.status() == 200 && answer.body.ends_with("[DONE]\n\n") {
         return ClientResult::Complete;
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -23,9 +23,9 @@
     let key = KeyPair::generate().expect("generate a key");
     let mut params = CertificateParams::new(Vec::new()).expect("create certificate parameters");
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-    let made = params.self_signed(&key).expect("sign the CA certificate");
-    let certificate = made.der().clone();
-    let pem = made.pem();
+    let signed = params.self_signed(&key).expect("sign the CA certificate");
+    let certificate = signed.der().clone();
+    let pem = signed.pem();
     Authority { issuer: Issuer::new(params, key), certificate, pem }
 }
 
@@ -45,8 +45,8 @@
         .extend(uris.iter().map(|uri| SanType::URI((*uri).try_into().expect("valid URI"))));
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ClientAuth, ExtendedKeyUsagePurpose::ServerAuth];
-    let made = params.signed_by(&key, &authority.issuer).expect("sign the certificate");
-    Identity { pem: made.pem(), certificate: made.der().clone(), key }
+    let signed = params.signed_by(&key, &authority.issuer).expect("sign the certificate");
+    Identity { pem: signed.pem(), certificate: signed.der().clone(), key }
 }
 
 /// Sends `GET /v1/models` with this identity and returns the response, or the error if there is none.
@@ -79,12 +79,12 @@
 
 #[test]
 fn only_allowed_identities_are_served() {
-    let (ours, theirs) = (create_authority(), create_authority());
+    let (trusted_authority, other_authority) = (create_authority(), create_authority());
     let base = address();
-    let router_identity = create_identity(&ours, &["spiffe://hanbit.example/croftsill"]);
+    let router_identity = create_identity(&trusted_authority, &["spiffe://hanbit.example/croftsill"]);
     file(&base, "svid.pem", &router_identity.pem);
     file(&base, "svid-key.pem", &router_identity.key.serialize_pem());
-    file(&base, "bundle.pem", &ours.pem);
+    file(&base, "bundle.pem", &trusted_authority.pem);
     let tls = format!(
         "[tls]\ncertificate = \"svid.pem\"\nkey = \"svid-key.pem\"\ntrust_bundle = \"bundle.pem\"\nallowed_ids = [\"{ALLOWED_ID}\"]\n"
     );
@@ -93,24 +93,26 @@
     router.wait_for_log("listening api=\"chat\"");
     let chat_address = format!("{base}:8090");
     let get_models_as = |authority: &Authority, uris: &[&str]| {
-        get_models(&chat_address, &ours, Some(create_identity(authority, uris)))
+        get_models(&chat_address, &trusted_authority, Some(create_identity(authority, uris)))
     };
-    let served = get_models_as(&ours, &[ALLOWED_ID]).expect("response for an allowed identity");
+    let served = get_models_as(&trusted_authority, &[ALLOWED_ID]).expect("response for an allowed identity");
     assert!(served.starts_with("HTTP/1.1 200 OK") && served.contains("climb-assist"), "{served}");
-    let denied = get_models_as(&ours, &["spiffe://hanbit.example/partner/other"])
+    let denied = get_models_as(&trusted_authority, &["spiffe://hanbit.example/partner/other"])
         .expect("response for a denied identity");
     assert!(denied.starts_with("HTTP/1.1 403") && denied.contains("identity_not_allowed"), "{denied}");
     // Not answered: no URI, two URIs, a URI that is not a SPIFFE ID, an untrusted authority, no certificate.
-    assert!(get_models_as(&ours, &[]).is_err());
-    assert!(get_models_as(&ours, &[ALLOWED_ID, "spiffe://hanbit.example/partner/two"]).is_err());
-    assert!(get_models_as(&ours, &["https://hanbit.example/partner/club"]).is_err());
-    assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_err());
-    assert!(get_models(&chat_address, &ours, None).is_err());
+    assert!(get_models_as(&trusted_authority, &[]).is_err());
+    assert!(get_models_as(&trusted_authority, &[ALLOWED_ID, "spiffe://hanbit.example/partner/two"]).is_err());
+    assert!(get_models_as(&trusted_authority, &["https://hanbit.example/partner/club"]).is_err());
+    assert!(get_models_as(&other_authority, &[ALLOWED_ID]).is_err());
+    assert!(get_models(&chat_address, &trusted_authority, None).is_err());
     // A trust bundle that is replaced at run time applies to the next client; an invalid one is ignored.
     file(&base, "bundle.pem", "no bundle");
-    assert!(get_models_as(&ours, &[ALLOWED_ID]).is_ok());
-    file(&base, "bundle.pem", &format!("{}{}", ours.pem, theirs.pem));
-    assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK")));
+    assert!(get_models_as(&trusted_authority, &[ALLOWED_ID]).is_ok());
+    file(&base, "bundle.pem", &format!("{}{}", trusted_authority.pem, other_authority.pem));
+    assert!(
+        get_models_as(&other_authority, &[ALLOWED_ID]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK"))
+    );
     // Without TLS there is no HTTP response either.
     let mut plain = TcpStream::connect(&chat_address).expect("connect to the router");
     plain.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\n\r\n").expect("send the request");
--- a/tests/tenants_and_keys.rs
+++ b/tests/tenants_and_keys.rs
@@ -9,7 +9,7 @@
 use common::stub_listener::StubListener;
 
 const NON_IDEMPOTENT: &str = "\"semantics\": \"non_idempotent\"";
-const KEYED: &str = "\"semantics\": \"idempotency_key\"";
+const WITH_IDEMPOTENCY_KEY: &str = "\"semantics\": \"idempotency_key\"";
 
 /// Adds a header to a request.
 fn with_header(request: &str, header: &str) -> String {
@@ -25,7 +25,7 @@
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
-    let router = start_router(&base, &["r1", "w1"], &[(NON_IDEMPOTENT, KEYED)]);
+    let router = start_router(&base, &["r1", "w1"], &[(NON_IDEMPOTENT, WITH_IDEMPOTENCY_KEY)]);
     let mut client = connect_client(&base);
     client.send(&with_header(&request("k1", "route-save", 15_000), "Idempotency-Key: 5f0c"));
     let mut prefill = prefill_stub.accept();
@@ -114,8 +114,8 @@
     let allowed = response_without_memory(&[]);
     assert!(allowed.head.starts_with("HTTP/1.1 429 "), "{allowed:?}");
     assert_eq!(allowed.header("retry-after"), Some("1"));
-    let soon = response_without_memory(&[("\"maxRetryAfter\": 2000.0", "\"maxRetryAfter\": 250.0")]);
-    assert_eq!(soon.header("retry-after"), Some("0.25"));
+    let shortened = response_without_memory(&[("\"maxRetryAfter\": 2000.0", "\"maxRetryAfter\": 250.0")]);
+    assert_eq!(shortened.header("retry-after"), Some("0.25"));
     let forbidden = response_without_memory(&[("\"retryAfter\": true", "\"retryAfter\": false")]);
     assert!(forbidden.head.starts_with("HTTP/1.1 429 "), "{forbidden:?}");
     assert_eq!(forbidden.header("retry-after"), None);
