--- a/src/server/chat_api/completion.rs
+++ b/src/server/chat_api/completion.rs
@@ -1,4 +1,5 @@
-//! The body of a chat completion request, as far as decisions need it, and what the scheduler is given of it.
+//! Parses the parts of a chat completion request that routing depends on, and derives the input of the
+//! scheduler.
 
 use serde::Deserialize;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -7,19 +8,18 @@
 use crate::config::ChatConfig;
 use crate::scheduler::{CacheKey, Micros, RequestSpec};
 
-/// Characters of a token, about, in the usual tokenizers; the router has none of its own.
+/// Approximate number of characters per token in common tokenizers. The router has no tokenizer of its own.
 const CHARACTERS_PER_TOKEN: f64 = 4.0;
-/// Most tokens that a request may ask for: far above every model's, so that estimates of time do not
-/// overflow.
+/// Maximum number of output tokens that a request may ask for. Far above the limit of any model; prevents
+/// overflow in time estimates.
 pub(super) const MAX_TOKENS_PER_REQUEST: u32 = 1 << 20;
-/// Multiple of the inter-token objective that the writing of a unary response may take before its client
+/// Multiple of the inter-token objective within which a unary response must be generated before its client
 /// gives up.
-const UNARY_OBJECTIVE_MULTIPLE: Micros = 2;
-/// Messages that identify a conversation: its first ones stay the same from turn to turn.
-const SESSION_MESSAGES: usize = 2;
+const UNARY_INTER_TOKEN_FACTOR: Micros = 2;
+/// Number of leading messages that identify a conversation. They stay the same from turn to turn.
+const SESSION_KEY_MESSAGES: usize = 2;
 
-/// A chat completion request. The names of this type and of its parts are in the texts of the errors that
-/// clients get for malformed bodies.
+/// A chat completion request. Error messages for malformed bodies show the names of these types to clients.
 #[derive(Deserialize)]
 pub(super) struct Completion {
     model: String,
@@ -48,7 +48,7 @@
 }
 
 impl Message {
-    /// Its texts; parts without a text, such as images, count as nothing.
+    /// Returns the text parts. Parts without text, such as images, are ignored.
     fn texts(&self) -> Vec<&str> {
         match &self.content {
             None => Vec::new(),
@@ -57,23 +57,24 @@
         }
     }
 
-    /// Its length in characters.
-    fn characters(&self) -> usize {
+    /// Returns the length of the text in characters.
+    fn char_count(&self) -> usize {
         self.texts().iter().map(|text| text.chars().count()).sum()
     }
 
-    /// The hash of its texts behind what `seed` is the hash of.
+    /// Chains the hash of the text onto `seed`.
     fn hash(&self, seed: u64) -> u64 {
         self.texts().iter().fold(seed, |hash, text| xxh3_64_with_seed(text.as_bytes(), hash))
     }
 }
 
 impl Completion {
-    /// What the scheduler decides by.
+    /// Derives the input of the scheduler.
     ///
     /// # Errors
     ///
-    /// The model is unknown, there are no messages, or the number of tokens is out of range.
+    /// Returns an error if the model is unknown, there are no messages, or the number of tokens is out of
+    /// range.
     pub(super) fn to_spec(&self, config: &ChatConfig) -> Result<RequestSpec, ChatError> {
         let Some(class) = config.models.get(&self.model).copied() else {
             return Err(ChatError::UnknownModel(self.model.clone()));
@@ -84,45 +85,45 @@
         let requested_tokens = self.max_completion_tokens.or(self.max_tokens);
         let max_tokens = requested_tokens.unwrap_or(config.default_max_tokens);
         if !(1..=MAX_TOKENS_PER_REQUEST).contains(&max_tokens) {
-            return Err(ChatError::MaxTokens);
+            return Err(ChatError::MaxTokensOutOfRange);
         }
         let mut spec = RequestSpec {
             class,
             session: Some(self.session()),
-            prompt_tokens: estimated_tokens(self.messages.iter().map(Message::characters).sum()),
+            prompt_tokens: estimate_tokens(self.messages.iter().map(Message::char_count).sum()),
             max_output_tokens: f64::from(max_tokens),
             client_timeout: config.settings.classes[class.0].deadline,
             unary: self.stream != Some(true),
             ..RequestSpec::default()
         };
-        // The first message, mostly the system prompt, is what other conversations share.
+        // The first message, usually the system prompt, is shared with other conversations.
         if self.messages.len() > 1 {
             spec.prefix = Some(CacheKey(first_message.hash(0)));
-            spec.prefix_tokens = estimated_tokens(first_message.characters());
+            spec.prefix_tokens = estimate_tokens(first_message.char_count());
         }
         if spec.unary {
-            // It arrives with its last token instead of the first, so the time to write it is added.
+            // A unary response arrives with its last token instead of its first, so generation time is added.
             let inter_token_objective = config.settings.classes[class.0].inter_token_objective;
-            let slowest_token = inter_token_objective * UNARY_OBJECTIVE_MULTIPLE;
-            let writing_time = Micros::from(max_tokens).saturating_mul(slowest_token);
-            spec.client_timeout = spec.client_timeout.saturating_add(writing_time);
+            let max_inter_token_time = inter_token_objective * UNARY_INTER_TOKEN_FACTOR;
+            let generation_time = Micros::from(max_tokens).saturating_mul(max_inter_token_time);
+            spec.client_timeout = spec.client_timeout.saturating_add(generation_time);
         }
         Ok(spec)
     }
 
-    /// The key of the conversation: the client's own, or the hash of its first messages.
+    /// Returns the session key: the one sent by the client, or a hash of the first messages.
     fn session(&self) -> CacheKey {
         match &self.prompt_cache_key {
             Some(key) => CacheKey(xxh3_64(key.as_bytes())),
             None => {
-                let messages = self.messages.iter().take(SESSION_MESSAGES);
+                let messages = self.messages.iter().take(SESSION_KEY_MESSAGES);
                 CacheKey(messages.fold(0, |hash, message| message.hash(hash)))
             }
         }
     }
 }
 
-/// The tokens of so many characters, about.
-fn estimated_tokens(characters: usize) -> f64 {
-    (characters as f64 / CHARACTERS_PER_TOKEN).max(1.0)
+/// Estimates the number of tokens in a text of this length.
+fn estimate_tokens(char_count: usize) -> f64 {
+    (char_count as f64 / CHARACTERS_PER_TOKEN).max(1.0)
 }
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, from its acceptance to its close.
+//! Serving a client connection from accept to close.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -13,52 +13,54 @@
 use super::client_stream::{ClientIo, ClientStream};
 use super::close_reason::CloseReason;
 use super::connection_limits::ConnectionSlot;
-use super::connection_state::{ClientState, MAX_HEAD_SIZE, Persistence, RequestVerdict};
+use super::connection_state::{ClientState, MAX_HEAD_SIZE, Persistence, RequestValidity};
 use super::handler::{RequestHandler, ServerResponse};
 use super::response::set_connection_close;
 use crate::shutdown::{CONNECT_GRACE, Shutdown, ShutdownGuard};
 
-/// What an open connection keeps until its end.
+/// Resources held by an open connection until it is closed.
 pub struct ConnectionGuard {
-    /// Its share of the connection limit.
+    /// The connection's slot in the connection limit.
     pub slot: ConnectionSlot,
-    /// Keeps the process from ending before it.
+    /// Delays the exit of the process until the connection is closed.
     pub shutdown: ShutdownGuard,
 }
 
-/// Serves a connection until its client closes it, its deadline passes, it is evicted or the process ends.
+/// Serves a connection until the client closes it, its deadline expires, it is evicted or the process shuts
+/// down.
 pub async fn serve_connection(
     io: impl ClientIo, handler: impl RequestHandler, shutdown: Shutdown, guard: ConnectionGuard,
 ) {
     let client = guard.slot.client.clone();
     let counters = handler.counters();
     let stream = ClientStream::new(io, client.clone());
-    let remaining_stream = stream.handle();
+    let linger_stream = stream.handle();
     let service_client = client.clone();
     let service = service_fn(move |request| answer_request(handler.clone(), service_client.clone(), request));
     let http =
         http1::Builder::new().max_buf_size(MAX_HEAD_SIZE).serve_connection(TokioIo::new(stream), service);
-    // Boxed, so that it can be dropped before the lingering close.
+    // Boxed so that it can be dropped before lingering.
     let mut http = Box::pin(http);
-    let mut drained = Box::pin(ready_to_drain(&shutdown, &client));
+    let mut drain_ready = Box::pin(ready_to_drain(&shutdown, &client));
     let mut deadline = Box::pin(client.deadline_passed());
-    let mut closed_behind_request = Box::pin(remaining_stream.closed_behind_request());
+    let mut closed_after_excess_bytes = Box::pin(linger_stream.closed_after_excess_bytes());
     let mut is_draining = false;
     let reason = loop {
         tokio::select! {
             biased;
-            // First: a request that crosses the eviction must not be started and then dropped.
+            // Checked first, so that a request that arrives during the eviction is not started and then
+            // dropped.
             () = client.evicted() => break CloseReason::Room,
-            // The request's own task reports a client that disconnects and a stream that breaks.
+            // Client disconnects and broken streams are reported by the task of the request.
             finished = &mut http => {
                 if let Err(error) = finished {
                     tracing::debug!(connection = guard.slot.number, %error, "client connection failed");
                 }
                 break CloseReason::Ended;
             }
-            () = &mut deadline => break CloseReason::overdue(client.stage()),
-            () = &mut closed_behind_request => break CloseReason::ClosedBehindRequest,
-            () = &mut drained, if !is_draining => {
+            () = &mut deadline => break CloseReason::for_expired_deadline(client.stage()),
+            () = &mut closed_after_excess_bytes => break CloseReason::ClosedBehindRequest,
+            () = &mut drain_ready, if !is_draining => {
                 is_draining = true;
                 http.as_mut().graceful_shutdown();
             }
@@ -69,21 +71,22 @@
         return;
     }
     drop(http);
-    drop(closed_behind_request);
-    // The guard is kept until the client has closed: the end of the process would reset what it has not read.
-    remaining_stream.linger().await;
+    drop(closed_after_excess_bytes);
+    // The guard is held until the client has closed: if the process exited earlier, the connection would be
+    // reset and the client would lose bytes that it has not read.
+    linger_stream.linger().await;
     drop(guard);
 }
 
-/// Answers one request. The handler learns how it arrived, and a connection that cannot be kept is closed
-/// behind the response.
+/// Handles one request. The request carries its [`RequestArrival`](super::connection_state::RequestArrival)
+/// as an extension, and a connection that cannot be reused is closed after the response.
 async fn answer_request(
     handler: impl RequestHandler, client: Rc<ClientState>, mut request: Request<Incoming>,
 ) -> Result<ServerResponse, Infallible> {
     let arrival = client.request_started(&request);
     request.extensions_mut().insert(arrival);
     let mut response = handler.handle(request).await;
-    if client.request_answered(verdict(response.status())) == Persistence::Close {
+    if client.request_answered(request_validity(response.status())) == Persistence::Close {
         set_connection_close(&mut response);
     }
     match response.body_mut() {
@@ -93,17 +96,17 @@
     Ok(response)
 }
 
-/// The verdict on a request that was answered with this status.
-fn verdict(status: StatusCode) -> RequestVerdict {
+/// Classifies a request by the status of its response.
+fn request_validity(status: StatusCode) -> RequestValidity {
     if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
-        RequestVerdict::Invalid
+        RequestValidity::Invalid
     } else {
-        RequestVerdict::Valid
+        RequestValidity::Valid
     }
 }
 
-/// Waits until the process ends and no request is on its way: at a graceful shutdown the HTTP library closes
-/// a connection that waits for a request at once, even with a part of a head read.
+/// Waits until the process shuts down and no request is arriving. On a graceful shutdown, the HTTP library
+/// immediately closes a connection that is waiting for a request, even if part of a head has been read.
 async fn ready_to_drain(shutdown: &Shutdown, client: &ClientState) {
     shutdown.wait_started().await;
     client.no_request_arriving(CONNECT_GRACE).await;
--- a/src/server/request_body.rs
+++ b/src/server/request_body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body, within the memory and the time that it may take.
+//! Reads request bodies within memory and time limits.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -13,69 +13,69 @@
 use super::connection_limits::{BodyAllocation, ConnectionLimiter};
 use super::connection_state::RequestArrival;
 
-/// Largest body of a request, in bytes.
+/// Maximum size of a request body in bytes.
 const MAX_BODY_SIZE: usize = 256 * 1024;
-/// Most bytes of a body that are read in all. A body that is too large is discarded up to here, so that the
-/// connection can be kept; past it a close is cheaper.
+/// Maximum number of bytes read of any body. An oversized body is read and discarded up to this size so that
+/// the connection can be reused; beyond it, closing the connection is cheaper.
 const MAX_DISCARDED_SIZE: usize = 2 * 1024 * 1024;
-/// Time for a client to send a complete request: an error or a close is due within 3 s.
+/// Time for a client to send a complete request. An error response or a close is required within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// Least time that a body gets from the end of its head on, however long the head took.
+/// Minimum time for a body from the end of its head, regardless of how long the head took.
 const MIN_BODY_TIME: Duration = Duration::from_millis(500);
 
-/// Why a request's body was not accepted.
+/// Why a request body was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum BodyError {
-    /// It is too large.
+    /// The body exceeds the size limit.
     #[error("the body is over {MAX_BODY_SIZE} bytes")]
     TooLarge,
-    /// The bodies of other requests take up the memory limit; a retry is harmless.
+    /// Other request bodies use up the memory limit. The request is safe to retry.
     #[error("no room for the body")]
-    NoRoom,
-    /// It took too long.
+    MemoryLimit,
+    /// The body did not arrive in time.
     #[error("the body took too long to arrive")]
-    Slow,
-    /// The connection broke within it.
+    TimedOut,
+    /// The connection failed before the end of the body.
     #[error("the body broke off: {0}")]
-    Broken(#[from] hyper::Error),
+    ReadFailed(#[from] hyper::Error),
 }
 
-/// What a body is read for.
+/// What happens to the bytes of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyUse {
-    /// Its bytes are needed.
+    /// The bytes are kept.
     Keep,
-    /// It is only read past, as its request is rejected anyway.
+    /// The bytes are discarded, because the request is rejected anyway.
     Discard,
 }
 
 /// A body that was read to its end.
 pub(super) struct ReceivedBody {
-    /// Its bytes; empty if they were discarded.
+    /// The bytes; empty if they were discarded.
     pub(super) bytes: Bytes,
-    /// Its share of the memory limit.
+    /// Memory accounted to the body.
     pub(super) allocation: BodyAllocation,
 }
 
-/// Reads a body to its end. One that is discarded, a little too large or finds no memory is read past, so
-/// that the connection can be kept.
+/// Reads a body to its end. A body is also read, and discarded, if it is not needed, slightly too large or
+/// exceeds the memory limit, so that the connection can be reused.
 ///
 /// # Errors
 ///
-/// The body is too large, finds no memory, arrives too late or breaks off.
+/// Returns an error if the body is too large, exceeds the memory limit, arrives too late or is incomplete.
 pub(super) async fn read_body(
     request: &mut Request<Incoming>, body_use: BodyUse, limiter: &Rc<ConnectionLimiter>,
 ) -> Result<ReceivedBody, BodyError> {
     let now = Instant::now();
     let arrival = request.extensions().get::<RequestArrival>();
-    let can_send_since = arrival.map_or(now, |arrival| arrival.can_send_since);
-    let deadline = (can_send_since + REQUEST_TIMEOUT).max(now + MIN_BODY_TIME);
+    let earliest_start = arrival.map_or(now, |arrival| arrival.earliest_start);
+    let deadline = (earliest_start + REQUEST_TIMEOUT).max(now + MIN_BODY_TIME);
     let mut body = pin!(request.body_mut());
-    let announced = body.size_hint().lower();
-    if announced > MAX_DISCARDED_SIZE as u64 {
+    let announced_length = body.size_hint().lower();
+    if announced_length > MAX_DISCARDED_SIZE as u64 {
         return Err(BodyError::TooLarge);
     }
-    let mut buffer = BodyBuffer::new(body_use, announced, limiter.clone());
+    let mut buffer = BodyBuffer::new(body_use, announced_length, limiter.clone());
     let read_to_end = async {
         while let Some(frame) = body.frame().await {
             if let Ok(data) = frame?.into_data() {
@@ -84,27 +84,27 @@
         }
         Ok(())
     };
-    timeout_at(deadline, read_to_end).await.unwrap_or(Err(BodyError::Slow))?;
+    timeout_at(deadline, read_to_end).await.unwrap_or(Err(BodyError::TimedOut))?;
     buffer.finish()
 }
 
-/// The part of a body that has arrived.
+/// The part of a body received so far.
 struct BodyBuffer {
     body_use: BodyUse,
-    /// Length that the head announced, in bytes, at least.
-    announced: u64,
+    /// Minimum body length in bytes announced by the head.
+    announced_length: u64,
     received: usize,
-    /// All that was received is in `bytes`.
+    /// Whether `bytes` holds everything that was received.
     is_kept: bool,
     bytes: BytesMut,
     allocation: BodyAllocation,
 }
 
 impl BodyBuffer {
-    fn new(body_use: BodyUse, announced: u64, limiter: Rc<ConnectionLimiter>) -> Self {
+    fn new(body_use: BodyUse, announced_length: u64, limiter: Rc<ConnectionLimiter>) -> Self {
         BodyBuffer {
             body_use,
-            announced,
+            announced_length,
             received: 0,
             is_kept: body_use == BodyUse::Keep,
             bytes: BytesMut::new(),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Adds bytes that arrived. Memory is allocated for these, not for what was announced.
+    /// Appends received bytes. Memory is accounted for received bytes, not for the announced length.
     fn push(&mut self, data: &[u8]) -> Result<(), BodyError> {
         self.received += data.len();
         if self.received > MAX_DISCARDED_SIZE {
@@ -123,19 +123,19 @@
             return Ok(());
         }
         if self.bytes.is_empty() {
-            self.bytes.reserve(self.announced.min(MAX_BODY_SIZE as u64) as usize);
+            self.bytes.reserve(self.announced_length.min(MAX_BODY_SIZE as u64) as usize);
         }
         self.bytes.extend_from_slice(data);
         Ok(())
     }
 
-    /// The body, at its end.
+    /// Returns the complete body.
     fn finish(self) -> Result<ReceivedBody, BodyError> {
         if self.received > MAX_BODY_SIZE {
             return Err(BodyError::TooLarge);
         }
         if self.body_use == BodyUse::Keep && !self.is_kept {
-            return Err(BodyError::NoRoom);
+            return Err(BodyError::MemoryLimit);
         }
         Ok(ReceivedBody { bytes: self.bytes.freeze(), allocation: self.allocation })
     }
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -1,4 +1,4 @@
-//! SPIFFE identities of clients at the chat API, with certificates made here.
+//! Verification of SPIFFE client identities at the chat API, with generated certificates.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, Stream};
 
-/// An authority that signs certificates.
+/// A certificate authority.
 struct Authority {
     issuer: Issuer<'static, KeyPair>,
     certificate: CertificateDer<'static>,
@@ -20,49 +20,52 @@
 }
 
 fn create_authority() -> Authority {
-    let key = KeyPair::generate().expect("a key");
-    let mut params = CertificateParams::new(Vec::new()).expect("parameters");
+    let key = KeyPair::generate().expect("generate a key");
+    let mut params = CertificateParams::new(Vec::new()).expect("create certificate parameters");
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-    let made = params.self_signed(&key).expect("a certificate");
-    let certificate = made.der().clone();
-    let pem = made.pem();
+    let signed = params.self_signed(&key).expect("sign the CA certificate");
+    let certificate = signed.der().clone();
+    let pem = signed.pem();
     Authority { issuer: Issuer::new(params, key), certificate, pem }
 }
 
-/// A certificate and its key.
+/// A certificate and its private key.
 struct Identity {
     pem: String,
     certificate: CertificateDer<'static>,
     key: KeyPair,
 }
 
-/// An identity whose certificate names these URIs.
+/// Creates an identity whose certificate contains these URIs.
 fn create_identity(authority: &Authority, uris: &[&str]) -> Identity {
-    let key = KeyPair::generate().expect("a key");
-    let mut params = CertificateParams::new(vec!["chat".into()]).expect("parameters");
-    params.subject_alt_names.extend(uris.iter().map(|uri| SanType::URI((*uri).try_into().expect("a URI"))));
+    let key = KeyPair::generate().expect("generate a key");
+    let mut params = CertificateParams::new(vec!["chat".into()]).expect("create certificate parameters");
+    params
+        .subject_alt_names
+        .extend(uris.iter().map(|uri| SanType::URI((*uri).try_into().expect("valid URI"))));
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ClientAuth, ExtendedKeyUsagePurpose::ServerAuth];
-    let made = params.signed_by(&key, &authority.issuer).expect("a certificate");
-    Identity { pem: made.pem(), certificate: made.der().clone(), key }
+    let signed = params.signed_by(&key, &authority.issuer).expect("sign the certificate");
+    Identity { pem: signed.pem(), certificate: signed.der().clone(), key }
 }
 
-/// The answer that a client with this identity reads to `GET /v1/models`, or why it gets none.
+/// Sends `GET /v1/models` with this identity and returns the response, or the error if there is none.
 fn get_models(address: &str, trusted: &Authority, identity: Option<Identity>) -> std::io::Result<String> {
     let mut roots = RootCertStore::empty();
-    roots.add(trusted.certificate.clone()).expect("a root");
+    roots.add(trusted.certificate.clone()).expect("add the root certificate");
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
-    let config = config.expect("versions").with_root_certificates(roots);
+    let config = config.expect("supported TLS versions").with_root_certificates(roots);
     let config = match identity {
         Some(identity) => {
-            let key = PrivateKeyDer::try_from(identity.key.serialize_der()).expect("a key");
-            config.with_client_auth_cert(vec![identity.certificate], key).expect("an identity")
+            let key = PrivateKeyDer::try_from(identity.key.serialize_der()).expect("parse the key");
+            config.with_client_auth_cert(vec![identity.certificate], key).expect("use the client certificate")
         }
         None => config.with_no_client_auth(),
     };
-    let mut session = ClientConnection::new(Arc::new(config), ServerName::try_from("chat").expect("a name"))
-        .map_err(std::io::Error::other)?;
+    let mut session =
+        ClientConnection::new(Arc::new(config), ServerName::try_from("chat").expect("valid server name"))
+            .map_err(std::io::Error::other)?;
     let mut socket = TcpStream::connect(address)?;
     let mut stream = Stream::new(&mut session, &mut socket);
     stream.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\nConnection: close\r\n\r\n")?;
@@ -71,17 +74,17 @@
     Ok(text)
 }
 
-/// The one identity that is allowed.
+/// The only allowed identity.
 const ALLOWED_ID: &str = "spiffe://hanbit.example/partner/club";
 
 #[test]
 fn only_allowed_identities_are_served() {
-    let (ours, theirs) = (create_authority(), create_authority());
+    let (trusted_authority, other_authority) = (create_authority(), create_authority());
     let base = address();
-    let router_identity = create_identity(&ours, &["spiffe://hanbit.example/croftsill"]);
+    let router_identity = create_identity(&trusted_authority, &["spiffe://hanbit.example/croftsill"]);
     file(&base, "svid.pem", &router_identity.pem);
     file(&base, "svid-key.pem", &router_identity.key.serialize_pem());
-    file(&base, "bundle.pem", &ours.pem);
+    file(&base, "bundle.pem", &trusted_authority.pem);
     let tls = format!(
         "[tls]\ncertificate = \"svid.pem\"\nkey = \"svid-key.pem\"\ntrust_bundle = \"bundle.pem\"\nallowed_ids = [\"{ALLOWED_ID}\"]\n"
     );
@@ -90,27 +93,29 @@
     router.wait_for_log("listening api=\"chat\"");
     let chat_address = format!("{base}:8090");
     let get_models_as = |authority: &Authority, uris: &[&str]| {
-        get_models(&chat_address, &ours, Some(create_identity(authority, uris)))
+        get_models(&chat_address, &trusted_authority, Some(create_identity(authority, uris)))
     };
-    let served = get_models_as(&ours, &[ALLOWED_ID]).expect("an allowed identity is answered");
+    let served = get_models_as(&trusted_authority, &[ALLOWED_ID]).expect("response for an allowed identity");
     assert!(served.starts_with("HTTP/1.1 200 OK") && served.contains("climb-assist"), "{served}");
-    let denied = get_models_as(&ours, &["spiffe://hanbit.example/partner/other"])
-        .expect("another one is answered too");
+    let denied = get_models_as(&trusted_authority, &["spiffe://hanbit.example/partner/other"])
+        .expect("response for a denied identity");
     assert!(denied.starts_with("HTTP/1.1 403") && denied.contains("identity_not_allowed"), "{denied}");
-    // No URI, two of them, one that is no SPIFFE ID, one of another authority, no certificate at all: no answer.
-    assert!(get_models_as(&ours, &[]).is_err());
-    assert!(get_models_as(&ours, &[ALLOWED_ID, "spiffe://hanbit.example/partner/two"]).is_err());
-    assert!(get_models_as(&ours, &["https://hanbit.example/partner/club"]).is_err());
-    assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_err());
-    assert!(get_models(&chat_address, &ours, None).is_err());
-    // A bundle that is replaced while the router runs applies to the next client; a malformed one is ignored.
+    // Not answered: no URI, two URIs, a URI that is not a SPIFFE ID, an untrusted authority, no certificate.
+    assert!(get_models_as(&trusted_authority, &[]).is_err());
+    assert!(get_models_as(&trusted_authority, &[ALLOWED_ID, "spiffe://hanbit.example/partner/two"]).is_err());
+    assert!(get_models_as(&trusted_authority, &["https://hanbit.example/partner/club"]).is_err());
+    assert!(get_models_as(&other_authority, &[ALLOWED_ID]).is_err());
+    assert!(get_models(&chat_address, &trusted_authority, None).is_err());
+    // A trust bundle that is replaced at run time applies to the next client; an invalid one is ignored.
     file(&base, "bundle.pem", "no bundle");
-    assert!(get_models_as(&ours, &[ALLOWED_ID]).is_ok());
-    file(&base, "bundle.pem", &format!("{}{}", ours.pem, theirs.pem));
-    assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK")));
-    // Without TLS there is no answer either.
-    let mut plain = TcpStream::connect(&chat_address).expect("it listens");
-    plain.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\n\r\n").expect("it reads");
+    assert!(get_models_as(&trusted_authority, &[ALLOWED_ID]).is_ok());
+    file(&base, "bundle.pem", &format!("{}{}", trusted_authority.pem, other_authority.pem));
+    assert!(
+        get_models_as(&other_authority, &[ALLOWED_ID]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK"))
+    );
+    // Without TLS there is no HTTP response either.
+    let mut plain = TcpStream::connect(&chat_address).expect("connect to the router");
+    plain.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\n\r\n").expect("send the request");
     let mut text = Vec::new();
     let _ = plain.read_to_end(&mut text);
     assert!(!text.starts_with(b"HTTP"), "{}", String::from_utf8_lossy(&text));
--- a/tests/tenants_and_keys.rs
+++ b/tests/tenants_and_keys.rs
@@ -1,4 +1,4 @@
-//! Settings of other deployments, on sockets: idempotency keys, tenants and `Retry-After`.
+//! Idempotency keys, tenants and `Retry-After`, with the settings of other deployments.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use common::stub_listener::StubListener;
 
 const NON_IDEMPOTENT: &str = "\"semantics\": \"non_idempotent\"";
-const KEYED: &str = "\"semantics\": \"idempotency_key\"";
+const WITH_IDEMPOTENCY_KEY: &str = "\"semantics\": \"idempotency_key\"";
 
 /// Adds a header to a request.
 fn with_header(request: &str, header: &str) -> String {
@@ -25,7 +25,7 @@
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
-    let router = start_router(&base, &["r1", "w1"], &[(NON_IDEMPOTENT, KEYED)]);
+    let router = start_router(&base, &["r1", "w1"], &[(NON_IDEMPOTENT, WITH_IDEMPOTENCY_KEY)]);
     let mut client = connect_client(&base);
     client.send(&with_header(&request("k1", "route-save", 15_000), "Idempotency-Key: 5f0c"));
     let mut prefill = prefill_stub.accept();
@@ -44,7 +44,8 @@
 }
 
 const NO_TENANTS: &str = "\"accounts\": []";
-/// The quota of the first allows a single request in a long while, that of the second all of them.
+/// The quota of the first tenant allows a single request for the duration of the test, that of the second
+/// allows all of its requests.
 const TENANTS: &str = "\"accounts\": [{\"name\":\"small\",\"share\":0.1,\"quotaPerS\":0.001},\
                        {\"name\":\"large\",\"share\":0.9,\"quotaPerS\":100000.0}]";
 
@@ -52,7 +53,8 @@
 fn a_tenant_beyond_its_quota_waits_for_those_within_theirs() {
     let base = address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
-    // No decode endpoint is known, so the requests are queued, and those within their quota are sent first.
+    // No decode endpoint is known, so requests are queued, and those within their tenant's quota are sent
+    // first.
     let mut router = start_router(&base, &["r1"], &[(NO_TENANTS, TENANTS)]);
     let mut clients: Vec<Connection> = Vec::new();
     for (tenant, count) in [("small", 5), ("large", 3)] {
@@ -69,13 +71,13 @@
     let mut first_ids: Vec<String> = Vec::new();
     for _ in 0..4 {
         let received = prefill_stub.accept().read_message();
-        first_ids.push(received.header("request-id").expect("an id").to_owned());
+        first_ids.push(received.header("request-id").expect("Request-Id header").to_owned());
     }
     first_ids.sort();
     assert_eq!(
         first_ids,
         ["large-1", "large-2", "large-3", "small-1"],
-        "the others are beyond their tenant's quota"
+        "the other requests exceed their tenant's quota"
     );
     clients.into_iter().for_each(Connection::close);
     router.process.terminate();
@@ -93,7 +95,8 @@
     router.process.terminate();
 }
 
-/// The answer to a request whose body exceeds the memory limit, with parts of the configuration replaced.
+/// Returns the response to a request whose body exceeds the memory limit, with parts of the configuration
+/// replaced.
 fn response_without_memory(replacements: &[(&str, &str)]) -> Message {
     let base = address();
     let no_memory = [("\"memory_mb\":192", "\"memory_mb\":0")];
@@ -111,8 +114,8 @@
     let allowed = response_without_memory(&[]);
     assert!(allowed.head.starts_with("HTTP/1.1 429 "), "{allowed:?}");
     assert_eq!(allowed.header("retry-after"), Some("1"));
-    let soon = response_without_memory(&[("\"maxRetryAfter\": 2000.0", "\"maxRetryAfter\": 250.0")]);
-    assert_eq!(soon.header("retry-after"), Some("0.25"));
+    let shortened = response_without_memory(&[("\"maxRetryAfter\": 2000.0", "\"maxRetryAfter\": 250.0")]);
+    assert_eq!(shortened.header("retry-after"), Some("0.25"));
     let forbidden = response_without_memory(&[("\"retryAfter\": true", "\"retryAfter\": false")]);
     assert!(forbidden.head.starts_with("HTTP/1.1 429 "), "{forbidden:?}");
     assert_eq!(forbidden.header("retry-after"), None);
