--- a/tests/decision_stability.rs
+++ b/tests/decision_stability.rs
@@ -1,7 +1,7 @@
-//! The scheduler's decisions on seeded random events: the same events must give the same actions.
+//! Regression test of the scheduler's decisions: seeded random events must give the recorded actions.
 //!
-//! The expected digests were recorded on the code before its names were changed. A change that is meant to change no
-//! decision leaves them as they are; one that is meant to change decisions records new ones and says so.
+//! A change that is not meant to alter decisions must leave the expected digests as they are; one that is
+//! meant to alter decisions records new digests and says so in its commit message.
 
 mod common;
 
@@ -15,13 +15,13 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// Rounds of each scenario; each brings up to three events.
+/// Rounds of each run, with up to three events in each.
 const ROUNDS: u32 = 3_000;
 
-/// A request that the scheduler has not answered yet.
+/// A request without a final answer.
 #[derive(Default)]
 struct OpenRequest {
-    /// The attempt that is out: its number, its endpoint, when it was sent, and whether it has begun to answer.
+    /// The attempt in flight: its number, its endpoint, when it was sent, whether its first token has come.
     attempt: Option<(u32, EndpointId, Micros, bool)>,
     sent: u32,
 }
@@ -40,7 +40,8 @@
     digest.update(&value.to_le_bytes());
 }
 
-/// Adds an action to the digest, by numbers alone: names may change.
+/// Adds an action to the digest by its numbers only, so that renaming a variant does not change it. A log
+/// line counts by its length.
 fn record(digest: &mut Xxh3, action: &Action) {
     let values = match action {
         Action::Send { request, endpoint, timeout, start_within } => {
@@ -54,7 +55,7 @@
         Action::WatchEndpoints => vec![7],
         Action::SetTimer { token, after } => vec![8, *token as i64, *after],
         Action::Log(line) => vec![9, line.len() as i64],
-        other => panic!("no decision asks for {other:?}"),
+        other => panic!("action without a place in the digest: {other:?}"),
     };
     values.into_iter().for_each(|value| number(digest, value));
 }
@@ -158,7 +159,7 @@
         })
     }
 
-    /// Something that happens to an attempt that is out.
+    /// The first token or the end of a random attempt in flight; none if no attempt is in flight.
     fn progress(&mut self) -> Option<Event> {
         let out: Vec<_> = self.open.iter().filter(|(_, r)| r.attempt.is_some()).map(|(&id, _)| id).collect();
         let id = *out.get(self.random.usize(0..out.len().max(1)))?;
@@ -215,7 +216,7 @@
         Some(Event::ClientDisconnected(RequestId(id)))
     }
 
-    /// An endpoint that drains, is removed, or restarts.
+    /// A delta of the endpoint list in which one endpoint drains, is removed, becomes ready or restarts.
     fn change(&mut self) -> Event {
         let at = self.random.usize(0..self.endpoints.len());
         let update = &mut self.endpoints[at];
@@ -231,7 +232,7 @@
     }
 }
 
-/// Three classes with different idempotency, and two tenants.
+/// Settings with three classes of different idempotency and two tenants.
 fn scenario(replicas: u32) -> Settings {
     let mut settings = settings();
     let class = settings.classes[0].clone();
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -1,15 +1,16 @@
-//! The limits on the source files, and what the scheduler may depend on.
+//! Size limits of the source files, and the dependencies that the scheduler may have.
 
 use std::path::{Path, PathBuf};
 
-/// Most lines of a file of `src`.
+/// Maximum lines of a file in `src`.
 const MAX_FILE_LINES: usize = 350;
-/// Most lines of a file of `src/scheduler` that are not blank.
+/// Maximum non-blank lines of a file in `src/scheduler`.
 const MAX_SCHEDULER_LINES: usize = 260;
-/// Most columns of a line of `src/scheduler`.
+/// Maximum columns of a line in `src/scheduler`.
 const MAX_SCHEDULER_COLUMNS: usize = 110;
-/// What the scheduler may not use, as time and everything else from outside come to it by its events: I/O, clocks, async
-/// runtimes, sources of randomness, and collections with a random order. Also `std::{`, which would hide some of them.
+/// What the scheduler may not use: I/O, clocks, async runtimes, sources of randomness, and collections with a
+/// random iteration order. The time and all other input are passed in by the caller. `std::{` is forbidden
+/// because a grouped import would hide some of these from the search.
 const FORBIDDEN_IN_SCHEDULER: [&str; 25] = [
     "std::{",
     "std::env",
@@ -42,11 +43,11 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The source files in a folder and the folders within it.
+/// All files in a directory and its subdirectories, sorted.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder of the sources") {
-        let path = entry.expect("an entry of the folder").path();
+    for entry in std::fs::read_dir(folder).expect("source directory is readable") {
+        let path = entry.expect("directory entry is readable").path();
         if path.is_dir() {
             files.extend(source_files(&path));
         } else {
@@ -57,7 +58,8 @@
     files
 }
 
-/// Whether a line of code uses a path or a name, which may be part of a longer path.
+/// Whether a line of code contains a path or a name, alone or as part of a longer path, but not within
+/// another name.
 fn uses(line: &str, path: &str) -> bool {
     let is_identifier = |character: char| character.is_alphanumeric() || character == '_';
     line.match_indices(path).any(|(start, _)| {
@@ -68,7 +70,7 @@
     })
 }
 
-/// The lines of code that use something the scheduler may not use, each with its number.
+/// A message for each use of something in `text` that the scheduler may not use, with the line number.
 fn forbidden_uses(text: &str) -> Vec<String> {
     let mut found = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -88,37 +90,38 @@
 #[test]
 fn no_source_file_is_too_long() {
     let files = source_files(&root().join("src"));
-    assert!(files.len() > 1, "the sources are not where they were");
+    assert!(files.len() > 1, "expected several source files in src");
     let mut too_long = Vec::new();
     for path in files {
-        let lines = std::fs::read_to_string(&path).expect("a text").lines().count();
+        let lines = std::fs::read_to_string(&path).expect("source file is readable as UTF-8").lines().count();
         if lines > MAX_FILE_LINES {
             too_long.push(format!("{lines} lines in {}", path.display()));
         }
     }
-    assert!(too_long.is_empty(), "over {MAX_FILE_LINES} lines: {too_long:#?}");
+    assert!(too_long.is_empty(), "files with more than {MAX_FILE_LINES} lines: {too_long:#?}");
 }
 
 #[test]
 fn the_scheduler_keeps_its_size_and_width() {
     let mut files = 0;
     for path in source_files(&root().join("src/scheduler")) {
-        let text = std::fs::read_to_string(&path).expect("a text");
+        let text = std::fs::read_to_string(&path).expect("source file is readable as UTF-8");
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MAX_SCHEDULER_LINES, "{lines} lines that are not blank in {}", path.display());
+        assert!(lines <= MAX_SCHEDULER_LINES, "{lines} non-blank lines in {}", path.display());
         files += 1;
         let widest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
         assert!(widest <= MAX_SCHEDULER_COLUMNS, "a line of {widest} columns in {}", path.display());
     }
-    assert!(files > 1, "the scheduler is not where it was");
+    assert!(files > 1, "expected several source files in src/scheduler");
 }
 
 #[test]
 fn the_scheduler_does_no_io_and_reads_no_clock() {
     let files = source_files(&root().join("src/scheduler"));
-    assert!(files.len() > 1, "the scheduler is not where it was");
+    assert!(files.len() > 1, "expected several source files in src/scheduler");
     for path in files {
-        let found = forbidden_uses(&std::fs::read_to_string(&path).expect("a text"));
+        let found =
+            forbidden_uses(&std::fs::read_to_string(&path).expect("source file is readable as UTF-8"));
         assert!(found.is_empty(), "{}: {found:#?}", path.display());
     }
 }
@@ -148,10 +151,11 @@
 
 #[test]
 fn the_deploy_file_names_every_file_of_the_scheduler() {
-    let deploy = std::fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
+    let deploy = std::fs::read_to_string(root().join("deploy/balancer.toml"))
+        .expect("deploy/balancer.toml is readable");
     for path in source_files(&root().join("src/scheduler")) {
-        let relative = path.strip_prefix(root()).expect("a file below the root");
-        let name = format!("\"{}\"", relative.to_str().expect("a plain name"));
-        assert!(deploy.contains(&name), "no {name} in the deploy file");
+        let relative = path.strip_prefix(root()).expect("file is below the package root");
+        let name = format!("\"{}\"", relative.to_str().expect("path is valid UTF-8"));
+        assert!(deploy.contains(&name), "deploy/balancer.toml does not list {name}");
     }
 }
