--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_unfitted_curve_does_not_admit_without_limit() {
+fn an_unfitted_speed_curve_still_limits_admission() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(2, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     let sent = (0..200).filter(|&id| sent_endpoint(&harness.receive_request(id)).is_some()).count();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_curve_that_shows_slow_streams_makes_requests_wait_before_their_prefill() {
+fn requests_queue_when_the_speed_curve_predicts_slow_streams() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     // 12 s for an estimated 100 tokens: twice the inter-token objective even for a single stream.
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_fast_decode_endpoint_goes_on_admitting() {
+fn a_fast_decode_endpoint_keeps_admitting() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     for id in 0..30 {
@@ -59,15 +59,16 @@
 }
 
 #[test]
-fn requests_beyond_a_tenants_quota_wait_while_the_high_tier_holds_any() {
+fn requests_over_quota_wait_until_the_objective_tier_is_empty() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1000.0 }];
     let mut harness = SchedulerHarness::new(settings, &[]);
-    let request_of = |id: u64, tenant| RequestSpec { tenant: Some(TenantId(tenant)), ..request_spec(id) };
+    let request_of_tenant =
+        |id: u64, tenant| RequestSpec { tenant: Some(TenantId(tenant)), ..request_spec(id) };
     for id in 0..10 {
-        harness.receive(request_of(id, 0));
+        harness.receive(request_of_tenant(id, 0));
     }
-    harness.receive(request_of(50, 1));
+    harness.receive(request_of_tenant(50, 1));
     let actions = harness.receive_snapshot(&[endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)]);
     let sent: Vec<_> = actions
         .iter()
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn the_low_tier_has_one_request_in_flight_at_a_time() {
+fn the_best_effort_tier_has_one_request_in_flight_at_a_time() {
     let endpoints = [
         endpoint_update(PREFILL, 0),
         endpoint_update(2, 0),
@@ -90,7 +91,7 @@
     ];
     let mut harness = SchedulerHarness::new(settings_with_ample_memory(), &endpoints);
     // Prefilling 40,000 tokens takes longer than the objective allows, but not longer than the deadline.
-    let late_request = |id| {
+    let best_effort_request = |id| {
         Event::RequestReceived(RequestSpec {
             client_timeout: 4 * SECOND,
             prompt_tokens: 40_000.0,
@@ -99,7 +100,7 @@
         })
     };
     let sent = (0..20)
-        .filter(|&id| sent_endpoint(&harness.step(5 * MILLISECOND, &[late_request(id)])).is_some())
+        .filter(|&id| sent_endpoint(&harness.step(5 * MILLISECOND, &[best_effort_request(id)])).is_some())
         .count();
     assert_eq!(
         sent, 1,
@@ -108,29 +109,29 @@
 }
 
 #[test]
-fn the_low_tier_of_a_large_fleet_goes_on_after_a_request_that_was_late() {
+fn best_effort_admission_in_a_large_fleet_continues_after_late_requests() {
     let mut settings = settings();
     settings.replicas = 100;
     let endpoints: Vec<_> =
         (1..21).map(|id| endpoint_update(id, 0)).chain([endpoint_update(50, 1)]).collect();
     let mut harness = SchedulerHarness::new(settings, &endpoints);
     // The prefill takes longer than the objective allows, but not longer than the client's timeout.
-    let late_request = |id| {
+    let best_effort_request = |id| {
         let spec = RequestSpec { prompt_tokens: 40_000.0, client_timeout: 60 * SECOND, ..request_spec(id) };
         Event::RequestReceived(spec)
     };
     for id in 1..6 {
-        let actions = harness.step(10 * SECOND, &[late_request(id)]);
+        let actions = harness.step(10 * SECOND, &[best_effort_request(id)]);
         let prefill =
             sent_endpoint(&actions).expect("best-effort request is sent without the admission test");
         let prefilled = attempt_finished_after(id, prefill, Outcome::Prefilled, 4 * SECOND);
         harness.step(4 * SECOND, &[prefilled]);
         harness.complete_stream(id, 50);
     }
-    assert!(sent_endpoint(&harness.step(10 * SECOND, &[late_request(6)])).is_some());
+    assert!(sent_endpoint(&harness.step(10 * SECOND, &[best_effort_request(6)])).is_some());
     let disconnected = Event::ClientDisconnected(RequestId(6));
     harness.step(0, &[disconnected, attempt_finished(6, 1, Outcome::Cancelled, true)]);
-    let mut actions = harness.step(0, &[late_request(7)]);
+    let mut actions = harness.step(0, &[best_effort_request(7)]);
     let received_at = harness.now;
     while sent_endpoint(&actions).is_none() {
         actions = harness.tick(5 * MILLISECOND);
@@ -142,34 +143,34 @@
 }
 
 #[test]
-fn a_queueing_delay_of_short_prefills_is_not_taken_for_the_cost_of_each_token() {
+fn queueing_delay_of_short_prefills_does_not_raise_the_prefill_cost_per_token() {
     let endpoints: Vec<_> = (1..5).map(|id| endpoint_update(id, 0)).chain([endpoint_update(50, 1)]).collect();
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     for id in 0..8 {
-        let short = RequestSpec { prompt_tokens: 200.0, prefix: None, ..request_spec(id) };
-        let prefill = sent_endpoint(&harness.receive(short)).expect("short prompt is sent");
+        let short_prompt = RequestSpec { prompt_tokens: 200.0, prefix: None, ..request_spec(id) };
+        let prefill = sent_endpoint(&harness.receive(short_prompt)).expect("short prompt is sent");
         // Most of the 500 ms is queueing behind other replicas' prefills.
         let prefilled = attempt_finished_after(id, prefill, Outcome::Prefilled, 500 * MILLISECOND);
         harness.step(500 * MILLISECOND, &[prefilled]);
         harness.complete_stream(id, 50);
     }
     // 0.5 s of queueing and a prefill of 1.6 s fit into the client's timeout of 4 s.
-    let long = RequestSpec { prompt_tokens: 20_000.0, prefix: None, ..request_spec(90) };
-    let actions = harness.receive(long);
+    let long_prompt = RequestSpec { prompt_tokens: 20_000.0, prefix: None, ..request_spec(90) };
+    let actions = harness.receive(long_prompt);
     assert!(sent_endpoint(&actions).is_some() && final_answers(&actions) == 0, "{actions:?}");
 }
 
 #[test]
-fn a_prefill_has_time_for_a_prefix_that_is_not_cached_after_all() {
+fn the_prefill_timeout_allows_for_an_uncached_prefix() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
-    let long = RequestSpec {
+    let long_prompt = RequestSpec {
         prompt_tokens: 8_000.0,
         prefix_tokens: 7_500.0,
         client_timeout: 20 * SECOND,
         ..request_spec(1)
     };
-    let actions = harness.receive(long);
+    let actions = harness.receive(long_prompt);
     let timeout = actions.iter().find_map(|action| match action {
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn a_replica_among_a_hundred_admits_from_its_first_second_on() {
+fn a_replica_of_a_large_fleet_admits_its_first_request() {
     let mut settings = settings();
     settings.replicas = 100;
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn prefills_that_time_out_make_the_next_request_wait() {
+fn requests_queue_after_prefill_timeouts() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     for id in 0..6 {
@@ -200,18 +201,18 @@
         }
         harness.step(3 * SECOND, &[]);
     }
-    let long = RequestSpec {
+    let long_prompt = RequestSpec {
         prompt_tokens: 8_000.0,
         prefix: None,
         session: None,
         client_timeout: 2 * SECOND,
         ..request_spec(90)
     };
-    assert_eq!(sent_endpoint(&harness.receive(long)), None);
+    assert_eq!(sent_endpoint(&harness.receive(long_prompt)), None);
 }
 
 #[test]
-fn a_report_of_memory_held_by_others_keeps_a_full_decode_endpoint_from_admitting() {
+fn a_decode_endpoint_that_reports_full_memory_does_not_admit() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     for id in 0..20 {
@@ -232,22 +233,22 @@
 }
 
 #[test]
-fn a_unary_answer_may_take_all_the_time_left() {
+fn a_unary_attempt_may_use_all_the_time_left() {
     let mut harness = SchedulerHarness::new(settings(), &[endpoint_update(DECODE, 2)]);
-    let unary = |id| RequestSpec { unary: true, ..request_spec(id) };
+    let unary_request = |id| RequestSpec { unary: true, ..request_spec(id) };
     assert!(
         timeout_of_last_send(&harness.receive_request(1)) < 4 * SECOND,
         "a stream without a first token must time out early"
     );
-    assert_eq!(timeout_of_last_send(&harness.receive(unary(2))), 4 * SECOND);
+    assert_eq!(timeout_of_last_send(&harness.receive(unary_request(2))), 4 * SECOND);
     // An unfinished unary attempt must not raise the endpoint's latency estimate for the next request.
     let cancelled = attempt_finished(1, DECODE, Outcome::Cancelled, true);
-    let actions = harness.step(SECOND, &[cancelled, Event::RequestReceived(unary(3))]);
+    let actions = harness.step(SECOND, &[cancelled, Event::RequestReceived(unary_request(3))]);
     assert_eq!(timeout_of_last_send(&actions), 4 * SECOND);
 }
 
 #[test]
-fn a_prefilled_request_past_its_objective_goes_on_at_once() {
+fn a_prefilled_request_past_its_objective_is_sent_to_decode_at_once() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     assert_eq!(sent_endpoint(&harness.receive_request(1)), Some(PREFILL));
--- a/tests/scheduler/draining.rs
+++ b/tests/scheduler/draining.rs
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn the_endpoint_list_is_watched_where_it_must_be_and_again_when_that_failed() {
+fn the_endpoint_list_watch_is_opened_once_and_reopened_after_a_failure() {
     let settings = Settings { watch_endpoint_list: true, ..settings() };
     let mut harness = SchedulerHarness { scheduler: Scheduler::new(settings, 1), now: 0 };
     assert_eq!(harness.step(0, &[]), [Action::WatchEndpoints]);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_draining_endpoint_gets_nothing_new() {
+fn a_draining_endpoint_gets_no_new_attempts() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     harness.receive_request(1);
--- a/tests/scheduler/ejection.rs
+++ b/tests/scheduler/ejection.rs
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn an_endpoint_that_fails_at_once_is_ejected_and_tried_singly() {
+fn a_failing_endpoint_is_ejected_and_gets_single_trials() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     let mut failed = 0;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn backpressure_for_one_class_leaves_the_endpoint_to_the_others() {
+fn backpressure_applies_only_to_the_rejected_class() {
     let mut settings = settings();
     settings.classes.push(settings.classes[0].clone());
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_endpoint_that_was_slow_to_reject_is_tried_again_within_seconds() {
+fn backpressure_after_a_slow_rejection_ends_within_seconds() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     harness.receive_request(1);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_malformed_answer_is_retried_at_once_and_its_endpoint_stays_in_use() {
+fn a_malformed_response_is_retried_at_once_and_does_not_eject_its_endpoint() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     harness.receive_request(1);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_kv_cache_that_two_decode_endpoints_could_not_fetch_is_prefilled_at_another_endpoint() {
+fn a_prompt_is_prefilled_elsewhere_after_two_failed_kv_cache_transfers() {
     let prefill = [endpoint_in_cell(1, 0, 1), endpoint_in_cell(2, 0, 2)];
     let decode = [
         endpoint_in_cell(10, 1, 1),
--- a/tests/scheduler/endpoint_selection.rs
+++ b/tests/scheduler/endpoint_selection.rs
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn decoding_stays_in_the_cell_of_the_prefill_while_an_endpoint_there_admits() {
+fn decode_stays_in_the_cell_of_the_prefill_while_an_endpoint_there_admits() {
     let endpoints =
         [endpoint_in_cell(PREFILL, 0, 1), endpoint_in_cell(DECODE, 1, 1), endpoint_in_cell(11, 1, 2)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
@@ -28,18 +28,18 @@
 fn every_replica_sends_a_prefix_to_the_same_prefill_endpoint() {
     let endpoints: Vec<_> =
         (1..6).map(|id| endpoint_update(id, 0)).chain([endpoint_update(DECODE, 1)]).collect();
-    let preferred_by_replica_in = |zone| {
+    let preferred_endpoint_in_zone = |zone| {
         let mut harness = SchedulerHarness::new(Settings { zone: ZoneId(zone), ..settings() }, &endpoints);
         let first = sent_endpoint(&harness.receive_request(1)).unwrap();
         harness.finish_attempt(1, first, Outcome::Prefilled);
         assert_eq!(sent_endpoint(&harness.receive_request(2)), Some(first));
         first
     };
-    assert_eq!(preferred_by_replica_in(0), preferred_by_replica_in(1));
+    assert_eq!(preferred_endpoint_in_zone(0), preferred_endpoint_in_zone(1));
 }
 
 #[test]
-fn a_crowded_preferred_endpoint_yields_to_the_next_prefill_endpoint() {
+fn a_prefix_overflows_to_the_next_prefill_endpoint_under_load() {
     let endpoints =
         [endpoint_update(1, 0), endpoint_update(2, 0), endpoint_update(3, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings_with_ample_memory(), &endpoints);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_mixed_endpoint_prefills_by_itself_only_when_no_prefill_endpoint_can() {
+fn a_mixed_endpoint_prefills_locally_only_without_a_ready_prefill_endpoint() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(20, 2)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     assert_eq!(sent_endpoint(&harness.receive_request(1)), Some(PREFILL));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_mixed_endpoint_prefills_by_itself_when_every_prefill_endpoint_is_congested() {
+fn a_mixed_endpoint_prefills_locally_when_all_prefill_endpoints_are_congested() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(20, 2)];
     let mut harness = SchedulerHarness::new(settings_with_ample_memory(), &endpoints);
     let sent: Vec<_> = (0..12).filter_map(|id| sent_endpoint(&harness.receive_request(id))).collect();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_prefix_is_prefilled_at_one_endpoint_and_under_load_at_few() {
+fn a_prefix_is_prefilled_at_one_endpoint_and_under_load_at_a_few() {
     let endpoints: Vec<_> =
         (1..10).map(|id| endpoint_update(id, 0)).chain([endpoint_update(DECODE, 1)]).collect();
     let prefilled_at = |seed, session| {
@@ -82,12 +82,13 @@
     );
     // No prefill ends, so the load exceeds one endpoint; the prefix must still be prefilled at only a few.
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
-    let crowded: BTreeSet<_> = (0..40).filter_map(|id| sent_endpoint(&harness.receive_request(id))).collect();
-    assert!((2..=3).contains(&crowded.len()) && crowded.is_superset(&preferred), "{crowded:?}");
+    let under_load: BTreeSet<_> =
+        (0..40).filter_map(|id| sent_endpoint(&harness.receive_request(id))).collect();
+    assert!((2..=3).contains(&under_load.len()) && under_load.is_superset(&preferred), "{under_load:?}");
 }
 
 #[test]
-fn replicas_with_the_same_view_do_not_all_choose_the_same_decode_endpoint() {
+fn replicas_with_the_same_state_spread_over_the_decode_endpoints() {
     let endpoints: Vec<_> =
         (10..14).map(|id| endpoint_update(id, 1)).chain([endpoint_update(PREFILL, 0)]).collect();
     let mut choices = BTreeMap::new();
@@ -101,15 +102,15 @@
 }
 
 #[test]
-fn a_cell_short_of_decode_endpoints_sends_some_requests_to_a_cell_with_spare_ones() {
-    let short = [
+fn a_cell_short_of_decode_capacity_sends_some_requests_to_a_cell_with_spare_capacity() {
+    let short_cell = [
         endpoint_in_cell(1, 0, 1),
         endpoint_in_cell(2, 0, 1),
         endpoint_in_cell(3, 0, 1),
         endpoint_in_cell(DECODE, 1, 1),
     ];
-    let spare = (11..16).map(|id| EndpointUpdate { zone: ZoneId(1), ..endpoint_in_cell(id, 1, 2) });
-    let endpoints: Vec<_> = short.into_iter().chain(spare).collect();
+    let spare_cell = (11..16).map(|id| EndpointUpdate { zone: ZoneId(1), ..endpoint_in_cell(id, 1, 2) });
+    let endpoints: Vec<_> = short_cell.into_iter().chain(spare_cell).collect();
     let mut local = 0;
     for seed in 0..100 {
         let mut harness = SchedulerHarness::with_seed(settings(), seed, &endpoints);
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn a_prefix_stays_at_its_preferred_endpoint_when_all_prefill_endpoints_are_slow() {
+fn a_prefix_stays_at_its_preferred_endpoint_when_all_prefill_endpoints_are_equally_slow() {
     let endpoints =
         [endpoint_update(1, 0), endpoint_update(2, 0), endpoint_update(3, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
--- a/tests/scheduler/final_answers.rs
+++ b/tests/scheduler/final_answers.rs
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn a_request_without_time_is_rejected_at_once_with_a_retry_delay() {
+fn a_request_that_cannot_meet_its_deadline_is_rejected_at_once_with_a_retry_delay() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
-    let late = RequestSpec { client_timeout: 11 * MILLISECOND, ..request_spec(1) };
-    let actions = harness.receive(late);
+    let request = RequestSpec { client_timeout: 11 * MILLISECOND, ..request_spec(1) };
+    let actions = harness.receive(request);
     let rejected = Action::Reject { request: RequestId(1), retry_after: Some(SECOND) };
     assert!(actions.contains(&rejected), "{actions:?}");
 }
 
 #[test]
-fn nothing_is_sent_for_a_request_whose_client_disconnected() {
+fn nothing_is_sent_after_the_client_disconnected() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     harness.receive_request(1);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_queued_request_that_may_not_be_sent_again_is_answered_at_once() {
+fn a_queued_request_that_may_not_be_retried_is_answered_at_once() {
     let endpoints =
         [endpoint_in_cell(PREFILL, 0, 1), endpoint_in_cell(DECODE, 1, 1), endpoint_in_cell(11, 1, 2)];
     let keyed = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: SECOND };
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_request_that_needs_more_attempts_than_it_may_have_is_rejected_at_once() {
+fn a_request_that_needs_more_attempts_than_allowed_is_rejected_at_once() {
     let mut settings = settings();
     settings.capabilities.max_attempts = 1;
     settings.kinds.truncate(2);
--- a/tests/scheduler/health_checks.rs
+++ b/tests/scheduler/health_checks.rs
@@ -10,7 +10,7 @@
 };
 
 /// One replica of a fleet of 100, with 8 prefill endpoints and with health checks enabled.
-fn one_of_a_hundred_replicas() -> SchedulerHarness {
+fn replica_of_large_fleet() -> SchedulerHarness {
     let mut settings = settings();
     settings.replicas = 100;
     settings.capabilities.health_checks = true;
@@ -27,14 +27,14 @@
     actions.iter().filter_map(checked).collect()
 }
 
-fn reports_queue(endpoint: u32, queued_prefill_tokens: f64) -> Event {
+fn queue_report(endpoint: u32, queued_prefill_tokens: f64) -> Event {
     let report = LoadReport { queued_prefill_tokens: Some(queued_prefill_tokens), ..LoadReport::default() };
     health_checked(endpoint, report)
 }
 
 #[test]
-fn a_replica_that_seldom_sees_its_prefill_endpoints_checks_them_and_chooses_the_shortest_queue() {
-    let mut harness = one_of_a_hundred_replicas();
+fn a_replica_with_few_requests_checks_prefill_endpoints_and_chooses_the_shortest_queue() {
+    let mut harness = replica_of_large_fleet();
     harness.step(5 * SECOND, &[]);
     let actions = harness.receive_request(1);
     let checked = checked_prefill_endpoints(&actions);
@@ -42,7 +42,7 @@
     let reports: Vec<_> = checked
         .iter()
         .zip([60_000.0, 0.0, 30_000.0])
-        .map(|(endpoint, queued)| reports_queue(*endpoint, queued))
+        .map(|(endpoint, queued)| queue_report(*endpoint, queued))
         .collect();
     let mut later_actions = harness.step(5 * MILLISECOND, &reports);
     while sent_endpoint(&later_actions).is_none() {
@@ -53,28 +53,28 @@
 }
 
 #[test]
-fn a_prefill_endpoint_that_does_not_answer_its_check_comes_after_those_that_do() {
-    let mut harness = one_of_a_hundred_replicas();
+fn a_prefill_endpoint_that_does_not_answer_its_check_ranks_after_those_that_do() {
+    let mut harness = replica_of_large_fleet();
     harness.step(5 * SECOND, &[]);
     let checked = checked_prefill_endpoints(&harness.receive_request(1));
     // The preferred endpoint, which is expected to cache the prefix, does not answer and may hang; the second
     // reports a short queue.
-    let reports = [reports_queue(checked[1], 1_000.0), reports_queue(checked[2], 9_000.0)];
+    let reports = [queue_report(checked[1], 1_000.0), queue_report(checked[2], 9_000.0)];
     harness.step(5 * MILLISECOND, &reports);
     assert_eq!(sent_endpoint(&harness.tick(15 * MILLISECOND)), Some(checked[1]));
 }
 
 #[test]
-fn a_replica_whose_prefill_endpoints_do_not_answer_sends_all_the_same() {
-    let mut harness = one_of_a_hundred_replicas();
+fn a_request_is_sent_although_no_prefill_endpoint_answers_its_check() {
+    let mut harness = replica_of_large_fleet();
     harness.step(5 * SECOND, &[]);
     assert_eq!(sent_endpoint(&harness.receive_request(1)), None);
     assert!(sent_endpoint(&harness.tick(20 * MILLISECOND)).is_some());
 }
 
 #[test]
-fn a_replica_with_recent_reports_of_its_prefill_endpoints_does_not_check_them() {
-    let mut harness = one_of_a_hundred_replicas();
+fn a_replica_with_frequent_requests_does_not_check_prefill_endpoints() {
+    let mut harness = replica_of_large_fleet();
     harness.step(5 * SECOND, &[]);
     // About 20 requests per second to each prefill endpoint, which bring enough load reports.
     let checks: Vec<_> = (0..400)
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn decode_endpoints_are_checked_while_there_are_requests_and_few_reports_from_streams() {
+fn decode_endpoints_are_checked_while_open_requests_bring_few_load_reports() {
     let capabilities = Capabilities { health_checks: true, ..settings().capabilities };
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(Settings { capabilities, ..settings() }, &endpoints);
@@ -103,23 +103,23 @@
     harness.receive_request(1);
     harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
     harness.step(0, &[first_token(1, DECODE)]);
-    let alone = checks_in_ten_seconds(&mut harness);
+    let checks_at_low_load = checks_in_ten_seconds(&mut harness);
     assert!(
-        (8..=16).contains(&alone),
-        "{alone} checks in 10 s by one of two replicas, which together send one every 0.35 s"
+        (8..=16).contains(&checks_at_low_load),
+        "{checks_at_low_load} checks in 10 s by one of two replicas, which together send one every 0.35 s"
     );
     // 20 requests per second: their responses bring enough load reports.
-    let busy: Vec<_> = (2..402)
+    let checks_at_high_load: Vec<_> = (2..402)
         .map(|id| {
             let received = Event::RequestReceived(request_spec(id));
             checks_of_decode_endpoint(&harness.step(50 * MILLISECOND, &[received]))
         })
         .collect();
-    assert_eq!(busy[100..].iter().sum::<usize>(), 0, "{busy:?}");
+    assert_eq!(checks_at_high_load[100..].iter().sum::<usize>(), 0, "{checks_at_high_load:?}");
 }
 
 #[test]
-fn absurd_load_reports_mislead_no_decision() {
+fn invalid_load_reports_do_not_affect_decisions() {
     for memory in [f64::NAN, f64::INFINITY, -5.0, 1e300] {
         let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
         let mut harness = SchedulerHarness::new(Settings { replicas: 0, ..settings() }, &endpoints);
@@ -140,18 +140,27 @@
     let checks_by_replica = |seed: u32| {
         let mut harness =
             SchedulerHarness::with_seed(settings.clone(), u64::from(seed), &[endpoint_update(DECODE, 1)]);
-        let patient = RequestSpec { client_timeout: 60 * SECOND, ..request_spec(1) };
-        let first = count_checks(&harness.receive(patient));
+        let long_request = RequestSpec { client_timeout: 60 * SECOND, ..request_spec(1) };
+        let first = count_checks(&harness.receive(long_request));
         first + (0..200).map(|_| count_checks(&harness.tick(50 * MILLISECOND))).sum::<usize>()
     };
     (0..replicas).map(checks_by_replica).sum()
 }
 
 #[test]
-fn a_decode_endpoint_is_checked_as_often_by_a_large_fleet_as_by_a_small_one() {
-    let few = checks_by_fleet(4);
-    let many = checks_by_fleet(100);
-    assert!(few >= 20, "a small fleet sends one check every 0.35 s on average: {few} checks in 10 s");
-    assert!(many <= few * 3 / 2, "{many} checks by 100 replicas, {few} by 4");
-    assert!(many >= few / 2, "{many} checks by 100 replicas, {few} by 4");
+fn the_rate_of_decode_endpoint_checks_does_not_depend_on_the_fleet_size() {
+    let checks_by_small_fleet = checks_by_fleet(4);
+    let checks_by_large_fleet = checks_by_fleet(100);
+    assert!(
+        checks_by_small_fleet >= 20,
+        "a small fleet sends one check every 0.35 s on average: {checks_by_small_fleet} checks in 10 s"
+    );
+    assert!(
+        checks_by_large_fleet <= checks_by_small_fleet * 3 / 2,
+        "{checks_by_large_fleet} checks by 100 replicas, {checks_by_small_fleet} by 4"
+    );
+    assert!(
+        checks_by_large_fleet >= checks_by_small_fleet / 2,
+        "{checks_by_large_fleet} checks by 100 replicas, {checks_by_small_fleet} by 4"
+    );
 }
--- a/tests/scheduler/reservations.rs
+++ b/tests/scheduler/reservations.rs
@@ -7,40 +7,40 @@
     endpoint_update, sent_endpoint, settings,
 };
 
-fn releases(actions: &[Action]) -> bool {
+fn releases_reservation(actions: &[Action]) -> bool {
     actions.contains(&Action::ReleaseReservation(RequestId(1)))
 }
 
 #[test]
-fn a_reservation_that_no_endpoint_takes_is_released_in_time() {
+fn a_reservation_without_a_decode_endpoint_is_released_in_time() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     harness.receive_request(1);
     harness.receive_delta(&[EndpointUpdate { lifecycle: Lifecycle::Removed, ..endpoint_update(DECODE, 1) }]);
     let mut actions = harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
     let reserved_at = harness.now;
-    while !releases(&actions) {
+    while !releases_reservation(&actions) {
         actions = harness.tick(5 * MILLISECOND);
         assert!(harness.now < reserved_at + 500 * MILLISECOND, "still reserved after 500 ms");
     }
 }
 
 #[test]
-fn a_reservation_whose_decode_endpoint_rejected_is_sent_on_or_released_in_time() {
+fn a_rejected_reservation_is_retried_or_released_in_time() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     harness.receive_request(1);
     harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
     let mut actions = harness.finish_attempt(1, DECODE, Outcome::Rejected);
     let rejected_at = harness.now;
-    while sent_endpoint(&actions).is_none() && !releases(&actions) {
+    while sent_endpoint(&actions).is_none() && !releases_reservation(&actions) {
         actions = harness.tick(5 * MILLISECOND);
         assert!(harness.now < rejected_at + 500 * MILLISECOND, "still reserved 500 ms after the rejection");
     }
 }
 
 #[test]
-fn a_reservation_whose_connection_was_lost_in_progress_is_sent_on_again() {
+fn a_reservation_whose_connection_was_lost_in_progress_is_retried() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     harness.receive_request(1);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn everything_is_released_where_a_missing_kv_cache_sends_the_prompt_back_to_the_queue() {
+fn reservations_are_released_when_a_missing_kv_cache_requeues_the_request() {
     let mut settings = settings();
     settings.capabilities.max_attempts = 8;
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
@@ -67,11 +67,11 @@
     let second = sent_endpoint(&harness.finish_attempt(1, first, Outcome::TimedOut)).expect("retry is sent");
     // The first decode endpoint may have fetched the KV cache without responding.
     let actions = harness.finish_attempt(1, second, Outcome::StateMissing);
-    assert!(releases(&actions), "{actions:?}");
+    assert!(releases_reservation(&actions), "{actions:?}");
 }
 
 #[test]
-fn a_reservation_waits_on_while_connections_to_decode_endpoints_fail() {
+fn failed_connections_to_decode_endpoints_do_not_extend_a_reservation() {
     let mut settings = settings();
     settings.capabilities.max_attempts = 8;
     let decode = (10..18).map(|id| endpoint_update(id, 1));
@@ -80,7 +80,7 @@
     harness.receive_request(1);
     let mut actions = harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
     let reserved_at = harness.now;
-    while !releases(&actions) {
+    while !releases_reservation(&actions) {
         actions = match sent_endpoint(&actions) {
             Some(endpoint) => {
                 let failed = attempt_finished(1, endpoint, Outcome::ConnectFailed, false);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_reservation_is_sent_on_only_if_that_can_begin_within_its_time() {
+fn a_retry_with_a_reservation_must_start_within_the_reservation_limit() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
     harness.receive_request(1);
@@ -121,7 +121,7 @@
     harness.receive_request(1);
     let mut actions = harness.finish_attempt(1, PREFILL, Outcome::Prefilled);
     let reserved_at = harness.now;
-    while !releases(&actions) {
+    while !releases_reservation(&actions) {
         let lost = sent_endpoint(&actions)
             .map(|endpoint| attempt_finished(1, endpoint, Outcome::ConnectionLost, false));
         actions = harness.step(5 * MILLISECOND, lost.as_slice());
--- a/tests/scheduler/retries.rs
+++ b/tests/scheduler/retries.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_scope_and_window() {
+fn a_keyed_request_is_retried_only_within_its_scope_and_window() {
     let endpoints =
         [endpoint_in_cell(PREFILL, 0, 1), endpoint_in_cell(DECODE, 1, 1), endpoint_in_cell(11, 1, 2)];
     let keyed = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: SECOND };
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_been_executed_is_prefilled_again_in_its_scope_alone() {
+fn a_keyed_request_that_may_have_been_executed_is_prefilled_again_only_within_its_scope() {
     let in_zone = |endpoint, kind, zone: usize| EndpointUpdate {
         zone: ZoneId(zone),
         ..endpoint_in_cell(endpoint, kind, zone as i64)
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_retry_of_a_keyed_request_carries_the_time_within_which_it_may_start() {
+fn a_retry_of_a_keyed_request_must_start_within_its_window() {
     let endpoints = [endpoint_update(PREFILL, 0), endpoint_update(DECODE, 1), endpoint_update(11, 1)];
     // Shorter than the reservation limit, which applies to every decode attempt.
     let window = 300 * MILLISECOND;
@@ -166,7 +166,7 @@
 
 /// The actions for a request whose first decode endpoint may have executed it and was then removed, once a
 /// connection to the second one has failed.
-fn after_the_first_endpoint_was_removed(scope: DeduplicationScope) -> Vec<Action> {
+fn actions_after_first_endpoint_was_removed(scope: DeduplicationScope) -> Vec<Action> {
     let endpoints = [
         endpoint_update(PREFILL, 0),
         endpoint_update(DECODE, 1),
@@ -186,9 +186,9 @@
 }
 
 #[test]
-fn a_keyed_request_is_retried_in_its_scope_though_its_first_endpoint_was_removed() {
+fn a_keyed_request_is_retried_within_its_scope_after_its_first_endpoint_was_removed() {
     for scope in [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell] {
-        let actions = after_the_first_endpoint_was_removed(scope);
+        let actions = actions_after_first_endpoint_was_removed(scope);
         assert!(sent_endpoint(&actions).is_some(), "{scope:?}: {actions:?}");
     }
 }
@@ -203,14 +203,14 @@
 }
 
 #[test]
-fn after_a_decode_endpoint_stays_silent_the_retry_goes_to_another_cell() {
-    let near = [
+fn a_retry_after_a_decode_timeout_goes_to_another_cell() {
+    let same_cell = [
         endpoint_in_cell(PREFILL, 0, 1),
         endpoint_in_cell(10, 1, 1),
         endpoint_in_cell(11, 1, 1),
         endpoint_in_cell(13, 1, 1),
     ];
-    let endpoints = [&near[..], &[endpoint_in_cell(12, 1, 2)]].concat();
+    let endpoints = [&same_cell[..], &[endpoint_in_cell(12, 1, 2)]].concat();
     for id in 1..9 {
         let mut harness = SchedulerHarness::new(settings(), &endpoints);
         harness.receive_request(id);
--- a/tests/scheduler/slow_start.rs
+++ b/tests/scheduler/slow_start.rs
@@ -13,26 +13,26 @@
 };
 
 /// An attempt that was sent to an endpoint.
-struct Send {
-    at: Micros,
+struct SentAttempt {
+    sent_at: Micros,
     endpoint: u32,
 }
 
 /// A prefill attempt among a list of actions.
-struct PrefillSend {
+struct PrefillAttempt {
     position: usize,
     request: u64,
     endpoint: u32,
 }
 
 /// Number of these times that lie within the given second.
-fn count_in_second(moments: &[Micros], second: Micros) -> usize {
+fn count_in_second(times: &[Micros], second: Micros) -> usize {
     let within = second * SECOND..(second + 1) * SECOND;
-    moments.iter().filter(|&moment| within.contains(moment)).count()
+    times.iter().filter(|&time| within.contains(time)).count()
 }
 
 #[test]
-fn a_starting_endpoint_is_sent_little_in_any_window() {
+fn a_starting_endpoint_is_sent_few_requests() {
     let cold = EndpointUpdate { started_at: Some(100 * SECOND), ..endpoint_update(PREFILL, 0) };
     let endpoints = [cold, endpoint_update(DECODE, 1), endpoint_update(11, 1)];
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
@@ -46,19 +46,19 @@
 
 /// Times at which one of 100 replicas sends to prefill endpoint 1 after that endpoint's restart. The replica
 /// receives one request per second; the restart comes just before the 31st.
-fn sends_of_replica_to_a_restarted_endpoint(replica: u64, endpoints: &[EndpointUpdate]) -> Vec<Micros> {
+fn replica_sends_to_restarted_endpoint(replica: u64, endpoints: &[EndpointUpdate]) -> Vec<Micros> {
     let cold = EndpointUpdate { started_at: Some(130 * SECOND), ..endpoint_update(1, 0) };
     let mut harness = SchedulerHarness::with_seed(settings(), replica, endpoints);
     let mut sends = Vec::new();
-    for number in 0..42 {
-        if number == 30 {
+    for index in 0..42 {
+        if index == 30 {
             harness.receive_delta(std::slice::from_ref(&cold));
         }
-        let id = replica * 1000 + number;
+        let id = replica * 1000 + index;
         harness.step(10 * MILLISECOND * replica as Micros, &[]);
         let request = RequestSpec { prefix: Some(CacheKey(id)), ..request_spec(id) };
         if let Some(prefill) = sent_endpoint(&harness.receive(request)) {
-            if prefill == 1 && number >= 30 {
+            if prefill == 1 && index >= 30 {
                 sends.push(harness.now);
             }
             let prefilled = harness.finish_attempt(id, prefill, Outcome::Prefilled);
@@ -66,70 +66,70 @@
                 harness.complete_stream(id, decode);
             }
         }
-        harness.now = (100 + number as Micros + 1) * SECOND;
+        harness.now = (100 + index as Micros + 1) * SECOND;
     }
     sends
 }
 
 #[test]
-fn a_hundred_replicas_together_spare_a_cold_endpoint_and_yet_use_it() {
+fn a_fleet_limits_but_does_not_stop_sends_to_a_restarted_endpoint() {
     // Each replica receives one request per second, and the endpoint list tells all of them of the restart at
     // the same time.
     let endpoints: Vec<_> = (1..9).map(|id| endpoint_update(id, 0)).chain([endpoint_update(20, 1)]).collect();
     let sends: Vec<_> =
-        (0..100).flat_map(|replica| sends_of_replica_to_a_restarted_endpoint(replica, &endpoints)).collect();
+        (0..100).flat_map(|replica| replica_sends_to_restarted_endpoint(replica, &endpoints)).collect();
     // 100 requests per second over 8 prefill endpoints: each can serve at least 12.5 per second. More than
     // 3.0 x 0.3 of that within one second is overload.
-    let most = (130..140).map(|second| count_in_second(&sends, second)).max();
-    assert!(most.unwrap() <= 11, "up to {most:?} sends in one second");
+    let peak = (130..140).map(|second| count_in_second(&sends, second)).max();
+    assert!(peak.unwrap() <= 11, "up to {peak:?} sends in one second");
     assert!(sends.len() >= 10, "only {} sends in total", sends.len());
 }
 
 /// Receives 20 requests per second and serves each that is admitted; returns the attempts at prefill
 /// endpoints 1 to 4, with their times since the call.
-fn serve_at_twenty_a_second(harness: &mut SchedulerHarness, ids: Range<u64>) -> Vec<Send> {
+fn serve_at_20_per_second(harness: &mut SchedulerHarness, ids: Range<u64>) -> Vec<SentAttempt> {
     let start = harness.now;
     let mut sends = Vec::new();
     for id in ids {
         let request = RequestSpec { prefix: None, ..request_spec(id) };
         let mut actions = harness.step(50 * MILLISECOND, &[Event::RequestReceived(request)]);
         while let Some(prefill) = first_prefill(&actions) {
-            sends.push(Send { at: harness.now - start, endpoint: prefill.endpoint });
+            sends.push(SentAttempt { sent_at: harness.now - start, endpoint: prefill.endpoint });
             actions.remove(prefill.position);
             let prefilled = attempt_finished(prefill.request, prefill.endpoint, Outcome::Prefilled, false);
-            let more = harness.step(0, &[prefilled]);
+            let next_actions = harness.step(0, &[prefilled]);
             harness.complete_stream(prefill.request, 20);
-            actions.extend(more);
+            actions.extend(next_actions);
         }
     }
     sends
 }
 
 /// The first attempt that is sent to one of the prefill endpoints 1 to 4.
-fn first_prefill(actions: &[Action]) -> Option<PrefillSend> {
+fn first_prefill(actions: &[Action]) -> Option<PrefillAttempt> {
     actions.iter().enumerate().find_map(|(position, action)| match action {
         Action::Send { request, endpoint: EndpointId(endpoint @ 1..5), .. } => {
-            Some(PrefillSend { position, request: request.0, endpoint: *endpoint })
+            Some(PrefillAttempt { position, request: request.0, endpoint: *endpoint })
         }
         _ => None,
     })
 }
 
 #[test]
-fn where_all_prefill_endpoints_start_they_are_sent_what_they_bear_and_more_as_they_warm_up() {
+fn sends_grow_with_capacity_after_all_prefill_endpoints_restart() {
     let endpoints: Vec<_> = (1..5).map(|id| endpoint_update(id, 0)).chain([endpoint_update(20, 1)]).collect();
     let mut harness = SchedulerHarness::new(settings(), &endpoints);
-    let warm_sends = serve_at_twenty_a_second(&mut harness, 0..600);
+    let warm_sends = serve_at_20_per_second(&mut harness, 0..600);
     assert!(warm_sends.len() > 500, "warm endpoints must be sent nearly all of 600 requests");
     let now = harness.now;
-    let started: Vec<_> =
+    let restarted: Vec<_> =
         (1..5).map(|id| EndpointUpdate { started_at: Some(now), ..endpoint_update(id, 0) }).collect();
-    harness.receive_delta(&started);
-    let sends = serve_at_twenty_a_second(&mut harness, 600..790);
+    harness.receive_delta(&restarted);
+    let sends = serve_at_20_per_second(&mut harness, 600..790);
     assert_no_endpoint_is_overloaded(&sends);
     let count_within = |seconds: Range<Micros>| {
         let within = seconds.start * SECOND..seconds.end * SECOND;
-        sends.iter().filter(|send| within.contains(&send.at)).count()
+        sends.iter().filter(|send| within.contains(&send.sent_at)).count()
     };
     let early = count_within(0..3);
     let late = count_within(6..9);
@@ -146,12 +146,14 @@
 /// Asserts that no endpoint is overloaded. Each can serve at least 5 requests per second, as it did when
 /// warm. It starts with 0.3 of that capacity and has all of it after 10 s; it is overloaded by more than 3
 /// times its present capacity within one second. The scheduler uses 0.65 of that limit.
-fn assert_no_endpoint_is_overloaded(sends: &[Send]) {
+fn assert_no_endpoint_is_overloaded(sends: &[SentAttempt]) {
     for endpoint in 1..5 {
         for from in (0..9 * SECOND).step_by(100_000) {
             let window = from..from + SECOND;
-            let count =
-                sends.iter().filter(|send| send.endpoint == endpoint && window.contains(&send.at)).count();
+            let count = sends
+                .iter()
+                .filter(|send| send.endpoint == endpoint && window.contains(&send.sent_at))
+                .count();
             let limit = 3.0 * 5.0 * (0.3 + 0.7 * from as f64 / 1e7);
             assert!(
                 count as f64 <= limit.ceil(),
@@ -163,9 +165,9 @@
 
 /// Times at which one replica of a fleet that starts together sends to decode endpoint 10. The first endpoint
 /// list shows that this endpoint has just started, and the load reports that it has the most free memory. The
-/// replica receives one request per second, the first after `first_after`.
-fn sends_of_starting_replica_to_a_cold_endpoint(
-    replica: u64, first_after: Micros, endpoints: &[EndpointUpdate],
+/// replica receives one request per second, the first after `first_request_after`.
+fn starting_replica_sends_to_cold_endpoint(
+    replica: u64, first_request_after: Micros, endpoints: &[EndpointUpdate],
 ) -> Vec<Micros> {
     let report = |endpoint: u32| {
         let memory_utilization = if endpoint == 10 { 0.0 } else { 0.6 };
@@ -175,9 +177,9 @@
     let reports: Vec<_> = (10..18).map(report).collect();
     let mut harness = SchedulerHarness::with_seed(settings(), replica, endpoints);
     let mut sends = Vec::new();
-    for number in 0..10 {
-        let id = replica * 1000 + number;
-        harness.now = 100 * SECOND + first_after + number as Micros * SECOND;
+    for index in 0..10 {
+        let id = replica * 1000 + index;
+        harness.now = 100 * SECOND + first_request_after + index as Micros * SECOND;
         harness.step(0, &reports);
         harness.receive(RequestSpec { prefix: Some(CacheKey(id)), ..request_spec(id) });
         let actions = harness.finish_attempt(id, PREFILL, Outcome::Prefilled);
@@ -191,31 +193,31 @@
 }
 
 /// Times at which a fleet of replicas that start together sends to a decode endpoint that starts with them.
-fn sends_of_starting_fleet_to_a_cold_endpoint(replicas: u64) -> Vec<Micros> {
+fn starting_fleet_sends_to_cold_endpoint(replicas: u64) -> Vec<Micros> {
     let cold = EndpointUpdate { started_at: Some(100 * SECOND), ..endpoint_update(10, 1) };
     let warm = (11..18).map(|id| endpoint_update(id, 1));
     let endpoints: Vec<_> = [endpoint_update(PREFILL, 0), cold].into_iter().chain(warm).collect();
     let sends_of = |replica: u64| {
-        let first_after = (replica * 997 % 1_000) as Micros * MILLISECOND;
-        sends_of_starting_replica_to_a_cold_endpoint(replica, first_after, &endpoints)
+        let first_request_after = (replica * 997 % 1_000) as Micros * MILLISECOND;
+        starting_replica_sends_to_cold_endpoint(replica, first_request_after, &endpoints)
     };
     (0..replicas).flat_map(sends_of).collect()
 }
 
 #[test]
-fn a_fleet_of_replicas_that_start_together_spares_an_endpoint_that_started_with_them() {
+fn a_starting_fleet_limits_but_does_not_stop_sends_to_an_endpoint_that_starts_with_it() {
     for replicas in [100, 400] {
-        let sends = sends_of_starting_fleet_to_a_cold_endpoint(replicas);
+        let sends = starting_fleet_sends_to_cold_endpoint(replicas);
         for second in 100..110 {
             let count = count_in_second(&sends, second) as f64;
             // The endpoint's even share of the requests is taken as its capacity when warm; it is overloaded
             // by more than 3 times its present capacity. The margin allows for random variation.
             let warmup_factor = 0.3 + 0.7 * (second - 100) as f64 / 10.0;
-            let bears = replicas as f64 / 8.0 * 3.0 * warmup_factor;
-            let most = bears + 2.0 * bears.sqrt() + 2.0;
+            let overload_limit = replicas as f64 / 8.0 * 3.0 * warmup_factor;
+            let max_count = overload_limit + 2.0 * overload_limit.sqrt() + 2.0;
             assert!(
-                count <= most,
-                "{count} sends by {replicas} replicas in second {second}, at most {most} are allowed"
+                count <= max_count,
+                "{count} sends by {replicas} replicas in second {second}, at most {max_count} are allowed"
             );
         }
         assert!(
