--- a/tests/decision_stability.rs
+++ b/tests/decision_stability.rs
@@ -23,26 +23,26 @@
 struct OpenRequest {
     /// The attempt in flight: its number, its endpoint, when it was sent, whether its first token has come.
     attempt: Option<(u32, EndpointId, Micros, bool)>,
-    sent: u32,
+    attempts_sent: u32,
 }
 
 struct Simulation {
     scheduler: Scheduler,
-    random: fastrand::Rng,
+    rng: fastrand::Rng,
     now: Micros,
     next_request: u64,
-    open: BTreeMap<u64, OpenRequest>,
+    requests: BTreeMap<u64, OpenRequest>,
     endpoints: Vec<EndpointUpdate>,
     digest: Xxh3,
 }
 
-fn number(digest: &mut Xxh3, value: i64) {
+fn hash_number(digest: &mut Xxh3, value: i64) {
     digest.update(&value.to_le_bytes());
 }
 
 /// Adds an action to the digest by its numbers only, so that renaming a variant does not change it. A log
 /// line counts by its length.
-fn record(digest: &mut Xxh3, action: &Action) {
+fn hash_action(digest: &mut Xxh3, action: &Action) {
     let values = match action {
         Action::Send { request, endpoint, timeout, start_within } => {
             vec![1, request.0 as i64, i64::from(endpoint.0), *timeout, start_within.unwrap_or(-1)]
@@ -57,7 +57,7 @@
         Action::Log(line) => vec![9, line.len() as i64],
         other => panic!("action without a place in the digest: {other:?}"),
     };
-    values.into_iter().for_each(|value| number(digest, value));
+    values.into_iter().for_each(|value| hash_number(digest, value));
 }
 
 impl Simulation {
@@ -68,107 +68,112 @@
         let endpoints: Vec<_> = prefill.chain(decode).chain(mixed).collect();
         Simulation {
             scheduler: Scheduler::new(settings, seed),
-            random: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
             now: 1_000 * SECOND,
             next_request: 0,
-            open: BTreeMap::new(),
+            requests: BTreeMap::new(),
             endpoints,
             digest: Xxh3::new(),
         }
     }
 
     fn run(mut self) -> u64 {
-        self.round(&[Event::EndpointsChanged { snapshot: true, updates: self.endpoints.clone() }]);
+        self.run_round(&[Event::EndpointsChanged { snapshot: true, updates: self.endpoints.clone() }]);
         for _ in 0..ROUNDS {
-            self.now += self.random.i64(0..40 * MILLISECOND);
-            let count = self.random.usize(0..4);
+            self.now += self.rng.i64(0..40 * MILLISECOND);
+            let count = self.rng.usize(0..4);
             for _ in 0..count {
-                let event = self.event();
-                self.round(&[event]);
+                let event = self.random_event();
+                self.run_round(&[event]);
             }
             if count == 0 {
-                self.round(&[Event::TimerFired(0)]);
+                self.run_round(&[Event::TimerFired(0)]);
             }
         }
         self.digest.digest()
     }
 
-    fn round(&mut self, events: &[Event]) {
+    fn run_round(&mut self, events: &[Event]) {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, events, &mut actions);
-        number(&mut self.digest, actions.len() as i64);
+        hash_number(&mut self.digest, actions.len() as i64);
         for action in &actions {
-            record(&mut self.digest, action);
-            self.take(action);
+            hash_action(&mut self.digest, action);
+            self.apply_action(action);
         }
     }
 
-    fn take(&mut self, action: &Action) {
+    fn apply_action(&mut self, action: &Action) {
         match action {
             Action::Send { request, endpoint, .. } => {
-                let open = self.open.entry(request.0).or_default();
-                open.attempt = Some((open.sent, *endpoint, self.now, false));
-                open.sent += 1;
+                let open_request = self.requests.entry(request.0).or_default();
+                open_request.attempt = Some((open_request.attempts_sent, *endpoint, self.now, false));
+                open_request.attempts_sent += 1;
             }
-            Action::Reject { request, .. } | Action::Fail(request) => drop(self.open.remove(&request.0)),
+            Action::Reject { request, .. } | Action::Fail(request) => drop(self.requests.remove(&request.0)),
             _ => {}
         }
     }
 
-    fn event(&mut self) -> Event {
-        match self.random.u32(0..100) {
-            0..35 => self.arrival(),
-            35..90 => self.progress().unwrap_or(Event::TimerFired(0)),
-            90..93 => self.departure().unwrap_or(Event::TimerFired(0)),
-            93..96 => self.change(),
+    fn random_event(&mut self) -> Event {
+        match self.rng.u32(0..100) {
+            0..35 => self.random_request(),
+            35..90 => self.random_attempt_event().unwrap_or(Event::TimerFired(0)),
+            90..93 => self.random_disconnect().unwrap_or(Event::TimerFired(0)),
+            93..96 => self.random_endpoint_change(),
             96..97 => Event::WatchFailed,
             97..98 => Event::EndpointsChanged { snapshot: true, updates: self.endpoints.clone() },
             _ => {
-                let endpoint = self.some_endpoint();
-                Event::HealthChecked { endpoint, outcome: Outcome::Completed, load_report: Some(self.load()) }
+                let endpoint = self.random_endpoint();
+                Event::HealthChecked {
+                    endpoint,
+                    outcome: Outcome::Completed,
+                    load_report: Some(self.random_load_report()),
+                }
             }
         }
     }
 
-    fn some_endpoint(&mut self) -> EndpointId {
-        let at = self.random.usize(0..self.endpoints.len());
-        self.endpoints[at].endpoint
+    fn random_endpoint(&mut self) -> EndpointId {
+        let index = self.rng.usize(0..self.endpoints.len());
+        self.endpoints[index].endpoint
     }
 
-    fn load(&mut self) -> LoadReport {
+    fn random_load_report(&mut self) -> LoadReport {
         LoadReport {
-            memory_utilization: Some(self.random.f64()),
-            queued_prefill_tokens: Some(self.random.f64() * 20_000.0),
+            memory_utilization: Some(self.rng.f64()),
+            queued_prefill_tokens: Some(self.rng.f64() * 20_000.0),
             ..LoadReport::default()
         }
     }
 
-    fn arrival(&mut self) -> Event {
+    fn random_request(&mut self) -> Event {
         self.next_request += 1;
-        let session = self.random.u64(0..60);
+        let session = self.rng.u64(0..60);
         Event::RequestReceived(RequestSpec {
-            class: ClassId(self.random.usize(0..3)),
-            tenant: Some(TenantId(self.random.usize(0..2))),
+            class: ClassId(self.rng.usize(0..3)),
+            tenant: Some(TenantId(self.rng.usize(0..2))),
             session: Some(CacheKey(session)),
             prefix: Some(CacheKey(1_000 + session % 9)),
-            prompt_tokens: 1_000.0 + self.random.f64() * 4_000.0,
-            client_timeout: self.random.i64(200 * MILLISECOND..6 * SECOND),
-            is_retry: self.random.u32(0..10) == 0,
-            unary: self.random.u32(0..20) == 0,
+            prompt_tokens: 1_000.0 + self.rng.f64() * 4_000.0,
+            client_timeout: self.rng.i64(200 * MILLISECOND..6 * SECOND),
+            is_retry: self.rng.u32(0..10) == 0,
+            unary: self.rng.u32(0..20) == 0,
             ..request_spec(self.next_request)
         })
     }
 
     /// The first token or the end of a random attempt in flight; none if no attempt is in flight.
-    fn progress(&mut self) -> Option<Event> {
-        let out: Vec<_> = self.open.iter().filter(|(_, r)| r.attempt.is_some()).map(|(&id, _)| id).collect();
-        let id = *out.get(self.random.usize(0..out.len().max(1)))?;
-        let (attempt, endpoint, sent_at, begun) = self.open.get(&id)?.attempt?;
+    fn random_attempt_event(&mut self) -> Option<Event> {
+        let in_flight: Vec<_> =
+            self.requests.iter().filter(|(_, r)| r.attempt.is_some()).map(|(&id, _)| id).collect();
+        let id = *in_flight.get(self.rng.usize(0..in_flight.len().max(1)))?;
+        let (attempt, endpoint, sent_at, has_first_token) = self.requests.get(&id)?.attempt?;
         let elapsed = self.now - sent_at;
         let is_prefill = endpoint.0 < 10;
-        let draw = self.random.u32(0..100);
-        if !is_prefill && !begun && draw < 60 {
-            self.open.get_mut(&id)?.attempt = Some((attempt, endpoint, sent_at, true));
+        let draw = self.rng.u32(0..100);
+        if !is_prefill && !has_first_token && draw < 60 {
+            self.requests.get_mut(&id)?.attempt = Some((attempt, endpoint, sent_at, true));
             return Some(Event::FirstToken {
                 request: RequestId(id),
                 attempt: AttemptId(attempt),
@@ -190,42 +195,42 @@
             98..99 => Outcome::Cancelled,
             _ => Outcome::Abandoned,
         };
-        let last = outcome == Outcome::Completed || (begun && outcome != Outcome::Rejected);
-        if last {
-            self.open.remove(&id);
+        let ends_request = outcome == Outcome::Completed || (has_first_token && outcome != Outcome::Rejected);
+        if ends_request {
+            self.requests.remove(&id);
         } else {
-            self.open.get_mut(&id)?.attempt = None;
+            self.requests.get_mut(&id)?.attempt = None;
         }
-        let load = (self.random.u32(0..3) == 0).then(|| self.load());
-        let cached_tokens = if is_prefill { (self.random.f64() * 1_000.0).floor() } else { 0.0 };
+        let report = (self.rng.u32(0..3) == 0).then(|| self.random_load_report());
+        let cached_tokens = if is_prefill { (self.rng.f64() * 1_000.0).floor() } else { 0.0 };
         Some(Event::AttemptFinished {
             request: RequestId(id),
             attempt: AttemptId(attempt),
             endpoint,
             outcome,
-            is_final: last,
+            is_final: ends_request,
             cached_tokens,
             elapsed,
-            load_report: load,
+            load_report: report,
         })
     }
 
-    fn departure(&mut self) -> Option<Event> {
-        let ids: Vec<_> = self.open.keys().copied().collect();
-        let id = *ids.get(self.random.usize(0..ids.len().max(1)))?;
+    fn random_disconnect(&mut self) -> Option<Event> {
+        let ids: Vec<_> = self.requests.keys().copied().collect();
+        let id = *ids.get(self.rng.usize(0..ids.len().max(1)))?;
         Some(Event::ClientDisconnected(RequestId(id)))
     }
 
     /// A delta of the endpoint list in which one endpoint drains, is removed, becomes ready or restarts.
-    fn change(&mut self) -> Event {
-        let at = self.random.usize(0..self.endpoints.len());
-        let update = &mut self.endpoints[at];
-        update.lifecycle = match self.random.u32(0..6) {
+    fn random_endpoint_change(&mut self) -> Event {
+        let index = self.rng.usize(0..self.endpoints.len());
+        let update = &mut self.endpoints[index];
+        update.lifecycle = match self.rng.u32(0..6) {
             0 => Lifecycle::Draining,
             1 => Lifecycle::Removed,
             _ => Lifecycle::Ready,
         };
-        if self.random.bool() {
+        if self.rng.bool() {
             update.started_at = Some(self.now);
         }
         Event::EndpointsChanged { snapshot: false, updates: vec![update.clone()] }
@@ -233,7 +238,7 @@
 }
 
 /// Settings with three classes of different idempotency and two tenants.
-fn scenario(replicas: u32) -> Settings {
+fn scenario_settings(replicas: u32) -> Settings {
     let mut settings = settings();
     let class = settings.classes[0].clone();
     settings.replicas = replicas;
@@ -256,18 +261,18 @@
 }
 
 #[test]
-fn seeded_events_give_the_recorded_actions() {
+fn seeded_events_reproduce_the_recorded_digests() {
     let digests: Vec<_> = [(1, 11), (2, 12), (12, 13), (64, 14)]
         .into_iter()
-        .map(|(replicas, seed)| format!("{:016x}", Simulation::new(scenario(replicas), seed).run()))
+        .map(|(replicas, seed)| format!("{:016x}", Simulation::new(scenario_settings(replicas), seed).run()))
         .collect();
     let recorded = ["7bdf4eb53f0b8dcb", "6aed8e91bdac3c87", "5ec694826310de72", "10cfc0edfd4290dd"];
     assert_eq!(digests, recorded);
 }
 
 #[test]
-fn fallback_to_local_prefill_gives_the_recorded_actions() {
-    let mut settings = scenario(3);
+fn local_prefill_reproduces_the_recorded_digest() {
+    let mut settings = scenario_settings(3);
     settings.capabilities.local_prefill = true;
     settings.capabilities.max_attempts = 6;
     settings.classes[1].idempotency = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: SECOND };
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -39,14 +39,14 @@
     "async",
 ];
 
-fn root() -> &'static Path {
+fn package_root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
 /// All files in a directory and its subdirectories, sorted.
-fn source_files(folder: &Path) -> Vec<PathBuf> {
+fn source_files(directory: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("source directory is readable") {
+    for entry in std::fs::read_dir(directory).expect("source directory is readable") {
         let path = entry.expect("directory entry is readable").path();
         if path.is_dir() {
             files.extend(source_files(&path));
@@ -60,13 +60,13 @@
 
 /// Whether a line of code contains a path or a name, alone or as part of a longer path, but not within
 /// another name.
-fn uses(line: &str, path: &str) -> bool {
-    let is_identifier = |character: char| character.is_alphanumeric() || character == '_';
+fn contains_path(line: &str, path: &str) -> bool {
+    let is_identifier_char = |character: char| character.is_alphanumeric() || character == '_';
     line.match_indices(path).any(|(start, _)| {
         let before = line[..start].chars().next_back();
         let after = line[start + path.len()..].chars().next();
-        let ends_within_name = path.ends_with(is_identifier) && after.is_some_and(is_identifier);
-        !before.is_some_and(is_identifier) && !ends_within_name
+        let ends_within_name = path.ends_with(is_identifier_char) && after.is_some_and(is_identifier_char);
+        !before.is_some_and(is_identifier_char) && !ends_within_name
     })
 }
 
@@ -76,7 +76,7 @@
     for (index, line) in text.lines().enumerate() {
         let code = line.split("//").next().unwrap_or_default();
         let mut forbidden: Vec<_> =
-            FORBIDDEN_IN_SCHEDULER.into_iter().filter(|path| uses(code, path)).collect();
+            FORBIDDEN_IN_SCHEDULER.into_iter().filter(|path| contains_path(code, path)).collect();
         if code.replace("crate::scheduler", "").contains("crate::") {
             forbidden.push("another module of the crate");
         }
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn no_source_file_is_too_long() {
-    let files = source_files(&root().join("src"));
+fn source_files_stay_within_the_line_limit() {
+    let files = source_files(&package_root().join("src"));
     assert!(files.len() > 1, "expected several source files in src");
     let mut too_long = Vec::new();
     for path in files {
@@ -102,9 +102,9 @@
 }
 
 #[test]
-fn the_scheduler_keeps_its_size_and_width() {
+fn scheduler_files_stay_within_the_line_and_column_limits() {
     let mut files = 0;
-    for path in source_files(&root().join("src/scheduler")) {
+    for path in source_files(&package_root().join("src/scheduler")) {
         let text = std::fs::read_to_string(&path).expect("source file is readable as UTF-8");
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
         assert!(lines <= MAX_SCHEDULER_LINES, "{lines} non-blank lines in {}", path.display());
@@ -116,8 +116,8 @@
 }
 
 #[test]
-fn the_scheduler_does_no_io_and_reads_no_clock() {
-    let files = source_files(&root().join("src/scheduler"));
+fn scheduler_uses_no_io_clock_or_randomness() {
+    let files = source_files(&package_root().join("src/scheduler"));
     assert!(files.len() > 1, "expected several source files in src/scheduler");
     for path in files {
         let found =
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn forbidden_uses_are_found_in_every_form_of_import() {
+fn forbidden_uses_finds_every_form_of_import() {
     for line in [
         "use std::time::Duration;",
         "use std::{collections::BTreeMap, time};",
@@ -150,11 +150,11 @@
 }
 
 #[test]
-fn the_deploy_file_names_every_file_of_the_scheduler() {
-    let deploy = std::fs::read_to_string(root().join("deploy/balancer.toml"))
+fn deploy_file_lists_every_scheduler_file() {
+    let deploy = std::fs::read_to_string(package_root().join("deploy/balancer.toml"))
         .expect("deploy/balancer.toml is readable");
-    for path in source_files(&root().join("src/scheduler")) {
-        let relative = path.strip_prefix(root()).expect("file is below the package root");
+    for path in source_files(&package_root().join("src/scheduler")) {
+        let relative = path.strip_prefix(package_root()).expect("file is below the package root");
         let name = format!("\"{}\"", relative.to_str().expect("path is valid UTF-8"));
         assert!(deploy.contains(&name), "deploy/balancer.toml does not list {name}");
     }
