--- a/tests/soak/client.rs
+++ b/tests/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients of a run. Most behave; some disconnect early, write slowly, read slowly, stop in the middle of a
-//! request or send nothing at all.
+//! Simulated clients. Most send and read at full speed; some disconnect early, write or read slowly, send
+//! only a part of a request head, or send nothing.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -14,30 +14,32 @@
 use super::replica::ReplicaProcess;
 use super::run_state::{Idempotency, RequestRecord, Response, ResponseOutcome, RunState};
 
-/// Time beyond its own timeout for which a client still waits for a response.
+/// Time for which a client keeps waiting for a response head after its request timeout.
 const RESPONSE_GRACE: Duration = Duration::from_secs(2);
-/// Time within which an idle client's connection has to be closed: 3 s, and 0.4 s for the machine's delays.
+/// Time within which a replica must close the connection of an idle client: 3 s, plus 0.4 s for scheduling
+/// delays of the test machine.
 const IDLE_CLOSE_TIMEOUT: Duration = Duration::from_millis(3_400);
-/// Time after SIGTERM from which a request may be cut off, as its replica is about to be killed.
+/// Time after SIGTERM from which a response may be missing or incomplete, because the replica is about to be
+/// killed.
 const TERMINATION_EXEMPTION: Duration = Duration::from_secs(4);
-/// Size of the pieces in which slow clients write, in bytes.
+/// Size of each write of a slow client, in bytes.
 const SLOW_WRITE_PIECE_BYTES: usize = 60;
 /// The body of every request.
 const BODY: &str = r#"{"model":"chat","stream":true}"#;
-/// What a client sends that stops in the middle of a head.
+/// Incomplete request head, sent by some idle clients.
 const PARTIAL_HEAD: &[u8] = b"POST /v1/chat/completions HTTP/1.1\r\nHost: a";
-/// The last chunk of a response, which has no bytes.
+/// The last chunk of a chunked response, which is empty.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 /// A client's connection to a replica.
 struct Connection {
     socket: TcpStream,
-    /// Bytes that were received and belong to no message yet.
+    /// Bytes received but not yet parsed as part of a message.
     unread: Vec<u8>,
-    /// Requests that were sent on this connection.
+    /// Number of requests sent on this connection.
     request_count: u64,
     replica: Rc<ReplicaProcess>,
-    /// How often the replica had been killed when the connection was opened.
+    /// Kill count of the replica when the connection was opened.
     kill_count: u64,
 }
 
@@ -46,22 +48,22 @@
 struct RequestParameters {
     idempotency: Idempotency,
     timeout_ms: u64,
-    /// Number of the prefix that the prompt begins with.
+    /// Number of the prompt prefix, which several requests share.
     prefix: u64,
 }
 
-/// How a client takes a response.
+/// How a client reads a response.
 struct ReadBehavior {
-    /// When the client stops waiting for the head.
+    /// When the client stops waiting for the response head.
     deadline: Instant,
-    /// When the client disconnects, whatever has come by then.
+    /// When the client disconnects, even in the middle of a response.
     disconnect_at: Option<Instant>,
-    /// How long a slow reader waits after each read.
+    /// Delay after each read of a slow reader.
     pause: Option<Duration>,
 }
 
 impl Connection {
-    /// Connects to a random replica among those that accept clients.
+    /// Connects to a random one of the replicas that accept clients.
     async fn open(state: &RunState, replicas: &[Rc<ReplicaProcess>]) -> Option<Self> {
         let accepting: Vec<_> = replicas.iter().filter(|replica| replica.accepts_clients()).collect();
         let replica = Rc::clone(accepting.get(state.draw_index(accepting.len().max(1)))?);
@@ -71,19 +73,20 @@
         Some(Connection { socket, unread: Vec::new(), request_count: 0, replica, kill_count })
     }
 
-    /// Whether the replica has been killed since the connection was opened.
+    /// Whether the replica has been killed since the connection was opened, which breaks the connection.
     fn was_killed(&self) -> bool {
         self.replica.kill_count() != self.kill_count
     }
 
-    /// Whether the replica was killed, or is so long in termination that it may be killed.
+    /// Whether the replica was killed, or has been terminating for more than [`TERMINATION_EXEMPTION`] and
+    /// may be killed at any time. A missing or late response is then no violation.
     fn is_exempt(&self) -> bool {
         let terminating_for = self.replica.terminating_for();
         self.was_killed() || terminating_for.is_some_and(|duration| duration > TERMINATION_EXEMPTION)
     }
 }
 
-/// Sends one request after another until the load ends.
+/// Sends requests one at a time, at random intervals, until the load ends.
 pub(crate) async fn run_client(
     state: RunState, replicas: Vec<Rc<ReplicaProcess>>, number: usize, load_end: Instant,
 ) {
@@ -107,7 +110,8 @@
     }
 }
 
-/// Connects and sends nothing or a part of a head; the replica has to close the connection.
+/// Connects and sends nothing or an incomplete head. Records a violation unless the replica closes the
+/// connection within [`IDLE_CLOSE_TIMEOUT`].
 async fn idle_on_connection(state: &RunState, replicas: &[Rc<ReplicaProcess>]) {
     let Some(mut connection) = Connection::open(state, replicas).await else { return };
     if state.chance(500) {
@@ -115,11 +119,11 @@
     }
     let closed = timeout(IDLE_CLOSE_TIMEOUT, wait_until_closed(&mut connection.socket)).await.is_ok();
     if !closed && !connection.was_killed() && !connection.replica.has_process_fault() {
-        state.record_violation("the connection of an idle client was not closed");
+        state.record_violation("idle client connection not closed in time");
     }
 }
 
-/// Sends a request and takes its response.
+/// Sends one request, reads its response and records both.
 async fn exchange(state: &RunState, connection: &mut Connection, id: &str) -> Persistence {
     let parameters = RequestParameters::draw(state);
     state.record.borrow_mut().requests.insert(id.to_owned(), new_record(connection, parameters));
@@ -139,7 +143,7 @@
 }
 
 impl RequestParameters {
-    /// Draws the parameters; 300 requests in 1,000 are not idempotent.
+    /// Draws random parameters; 300 requests in 1,000 are not idempotent.
     fn draw(state: &RunState) -> Self {
         let idempotency =
             if state.chance(300) { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
@@ -149,7 +153,7 @@
     }
 }
 
-/// The record of a request that is about to be sent.
+/// Returns the initial record of a request that is about to be sent.
 fn new_record(connection: &Connection, parameters: RequestParameters) -> RequestRecord {
     RequestRecord {
         replica: connection.replica.number(),
@@ -165,7 +169,8 @@
     }
 }
 
-/// Draws how a client reads: 100 in 1,000 disconnect early, and 50 in 1,000 read slowly.
+/// Draws how the client reads the response: 100 clients in 1,000 set a time to disconnect, and 50 in 1,000
+/// read slowly.
 fn draw_read_behavior(state: &RunState, sent_at: Instant, deadline: Instant) -> ReadBehavior {
     let mut behavior = ReadBehavior { deadline, disconnect_at: None, pause: None };
     if state.chance(100) {
@@ -177,7 +182,7 @@
     behavior
 }
 
-/// Records the response of a request.
+/// Records the outcome of a request and returns whether its connection can be reused.
 fn record_response(
     state: &RunState, connection: &Connection, id: &str, outcome: ResponseOutcome,
 ) -> Persistence {
@@ -196,7 +201,7 @@
     }
 }
 
-/// Writes a request; 100 clients in 1,000 do so slowly.
+/// Writes a request; 100 requests in 1,000 are written slowly.
 async fn write_request(
     state: &RunState, connection: &mut Connection, id: &str, parameters: RequestParameters,
 ) -> io::Result<()> {
@@ -221,7 +226,7 @@
     Ok(())
 }
 
-/// Reads the response, or returns `None` once the client has to disconnect.
+/// Reads the response. Returns `None` if the client's time to disconnect comes first.
 async fn read_response(connection: &mut Connection, behavior: &ReadBehavior) -> Option<ResponseOutcome> {
     let reading = read_to_end(connection, behavior);
     match behavior.disconnect_at {
@@ -244,7 +249,7 @@
     }
 }
 
-/// Reads a stream to its end.
+/// Reads a chunked event stream up to its last chunk and checks that it is complete.
 async fn read_stream(connection: &mut Connection, pause: Option<Duration>) -> ResponseOutcome {
     while !connection.unread.ends_with(LAST_CHUNK) {
         match connection.socket.read_buf(&mut connection.unread).await {
@@ -263,8 +268,8 @@
     }
 }
 
-/// Whether a stream has all the events that its endpoint numbered, once each and in order, and its last
-/// event.
+/// Whether a stream contains each numbered event exactly once and in order, as many as the endpoint
+/// announced, and the final `[DONE]` event.
 fn is_complete_stream(text: &str) -> bool {
     let numbers: Vec<u64> = text
         .split("data: {\"n\":")
--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -1,5 +1,5 @@
-//! A stub of discovery: one for each discovery address that a replica's configuration names. It pushes
-//! changes of the endpoint list in pieces of random sizes, can be silent, and can reset its watches.
+//! Stub of the discovery service. Each discovery address in a replica's configuration has a stub of its own,
+//! which sends endpoint list changes in chunks of random sizes, can fall silent, and can reset its watches.
 
 use std::cell::Cell;
 use std::io;
@@ -16,38 +16,39 @@
 use super::message::{read_message, wait_until_closed};
 use super::run_state::{Lifecycle, ListedEndpoint, Role, RunState};
 
-/// Time between empty lines on a watch while the list does not change.
+/// Interval of the empty lines that keep a watch alive while the list does not change.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time for which a stub keeps its connections open after another one has replaced it.
+/// Time for which a stub keeps its connections open after it has been replaced.
 const CLOSE_DELAY: Duration = Duration::from_millis(1_500);
-/// The head of the response to a watch.
+/// Head of the response to a watch request.
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Whether a message has the complete endpoint list or only changes of it.
+/// Whether a message contains the complete endpoint list or only its changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListKind {
     Snapshot,
     Delta,
 }
 
-/// A message of discovery, and the endpoints that it tells a replica about.
+/// A discovery message and the endpoints that it contains.
 struct ListMessage {
     text: String,
     endpoints: Vec<ListedEndpoint>,
 }
 
-/// One discovery stub, which serves one replica.
+/// A discovery stub that serves one replica.
 pub(crate) struct DiscoveryStub {
     state: RunState,
     replica: usize,
+    /// Until then, responses and list changes are held back.
     silent_until: Cell<Option<Instant>>,
-    /// Changes whenever all open watches are to be reset.
+    /// Number of resets so far; a change closes all open watches.
     resets: watch::Sender<u64>,
     open_watches: Cell<usize>,
     task: Cell<Option<JoinHandle<()>>>,
 }
 
-/// One line of the discovery protocol.
+/// Formats one line of the discovery protocol.
 pub(crate) fn list_line(version: u64, kind: ListKind, endpoints: &[ListedEndpoint]) -> String {
     let endpoints: Vec<_> = endpoints.iter().map(endpoint_json).collect();
     let full = kind == ListKind::Snapshot;
@@ -71,7 +72,7 @@
 impl DiscoveryStub {
     /// Starts a stub for a replica at an address.
     pub(crate) async fn start(state: &RunState, replica: usize, address: &str) -> Rc<Self> {
-        let listener = TcpListener::bind(address).await.expect("the address is free");
+        let listener = TcpListener::bind(address).await.expect("failed to bind the discovery address");
         let stub = Rc::new(DiscoveryStub {
             state: state.clone(),
             replica,
@@ -90,17 +91,17 @@
         stub
     }
 
-    /// Sends nothing for this time.
+    /// Holds back responses and list changes for this long; connections stay open.
     pub(crate) fn silence(&self, duration: Duration) {
         self.silent_until.set(Some(Instant::now() + duration));
     }
 
-    /// Closes all open watches.
+    /// Closes all open watches; the replica has to open new ones.
     pub(crate) fn reset_watches(&self) {
         self.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// Closes the stub and its connections after [`CLOSE_DELAY`], as another one has replaced it.
+    /// Closes the listener and all connections [`CLOSE_DELAY`] after the stub has been replaced.
     pub(crate) async fn close(&self) {
         sleep(CLOSE_DELAY).await;
         if let Some(task) = self.task.take() {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Whether the replica has a watch open here.
+    /// Whether the replica has an open watch on this stub.
     pub(crate) fn is_watched(&self) -> bool {
         self.open_watches.get() > 0
     }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Serves one connection, which has one request: for a snapshot, or for a watch from a version on.
+    /// Serves the single request of a connection: a snapshot, or a watch of changes since a version.
     async fn serve(self: Rc<Self>, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
         let (mut reader, mut writer) = socket.into_split();
@@ -155,7 +156,7 @@
         ListMessage { text: list_line(record.list_version, ListKind::Snapshot, &endpoints), endpoints }
     }
 
-    /// What changed after a version.
+    /// Returns the entries that changed after version `since`.
     fn delta(&self, since: u64) -> ListMessage {
         let record = self.state.record.borrow();
         let changed = record.endpoints.values().filter(|versioned| versioned.version > since);
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Sends a text in chunks of random sizes, with pauses between some of them.
+    /// Sends the text in chunks of random sizes, with random pauses between some of them.
     async fn send_in_pieces(&self, text: &str, writer: &mut OwnedWriteHalf) -> io::Result<()> {
         let mut unsent = text;
         while !unsent.is_empty() {
@@ -193,7 +194,7 @@
         Ok(())
     }
 
-    /// Records from when on the replica knows which of these endpoints take no new attempts.
+    /// Records since when the replica has known which of these endpoints accept no new attempts.
     fn record_notified(&self, endpoints: &[ListedEndpoint]) {
         let mut record = self.state.record.borrow_mut();
         let unavailable_since = record.unavailable_since.entry(self.replica).or_default();
--- a/tests/soak/endpoint.rs
+++ b/tests/soak/endpoint.rs
@@ -1,4 +1,5 @@
-//! Stubs of prefill and decode endpoints, which fail, hang, die and come back with nothing cached.
+//! Stubs of prefill and decode endpoints, which reject requests, hang, crash, and restart without their
+//! state.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,46 +14,46 @@
 use super::message::{Message, Persistence, read_message, wait_until_closed};
 use super::run_state::{Attempt, AttemptId, AttemptOutcome, Lifecycle, ListedEndpoint, Role, RunState};
 
-/// The rejection of a request before its execution.
+/// Response that rejects a request before its execution.
 const NOT_STARTED_RESPONSE: &str =
     "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-/// The answer of a decode endpoint to a request whose prefilled state is gone.
+/// Response of a decode endpoint if the request's prefilled state does not exist.
 const STATE_MISSING_RESPONSE: &str = "HTTP/1.1 410 Gone\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-/// A failure after which the request may have been executed.
+/// Error response after which the request may have been executed.
 const ERROR_RESPONSE: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-/// A response that breaks off within its status line.
+/// Response that is cut off within its status line.
 const TRUNCATED_RESPONSE: &str = "HTTP/1.1 2";
-/// The answer of a prefill endpoint that has prefilled the prompt and reserves its state.
+/// Response of a prefill endpoint after a prefill, whose state stays reserved for the decode.
 const PREFILLED_RESPONSE: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
-/// The answer to the release of a reservation.
+/// Response to the release of a reservation.
 const RELEASED_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
-/// The head of a decode endpoint's response, which is a stream of events.
+/// Head of a decode endpoint's response, an event stream.
 const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// The last event of a stream, and the last chunk.
+/// The last event of a stream, followed by the last chunk.
 const STREAM_END: &str = "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
-/// Time after which idle connections are closed, as real endpoints have been seen to do.
+/// Time after which idle connections are closed, as observed on real endpoints.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Connections that may wait to be accepted.
+/// Length of the queue of connections to accept.
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// One endpoint, which can be restarted at its address.
+/// An endpoint stub, which can be restarted at the same address.
 pub(crate) struct EndpointStub {
     state: RunState,
     name: String,
     address: String,
     role: Role,
-    /// Until then, requests are accepted and not answered.
+    /// Until then, requests are accepted but get no response.
     hangs_until: Cell<Option<Instant>>,
     task: RefCell<Option<JoinHandle<()>>>,
-    /// Milliseconds since 1970; 0 for an endpoint that started long before the run.
+    /// Unix time of the last start, in milliseconds; 0 for an endpoint that started long before the run.
     started_ms: Cell<u64>,
-    /// A fault that restarts the endpoint is under way.
+    /// Whether a fault that restarts the endpoint is in progress.
     restarting: Cell<bool>,
 }
 
-/// Records the end of an attempt when it is dropped with its endpoint's tasks, unless an end is recorded
-/// before.
+/// Guard that records the end of an attempt when it is dropped, so that an attempt whose task is aborted with
+/// its endpoint has an end too. Has no effect if an end is already recorded.
 struct OpenAttempt {
     state: RunState,
     id: AttemptId,
@@ -64,39 +65,41 @@
     }
 }
 
-/// How an attempt ended, and whether its connection goes on.
+/// How an attempt ended, and whether its connection can be reused.
 struct AttemptResult {
     outcome: AttemptOutcome,
     persistence: Persistence,
 }
 
 impl AttemptResult {
-    /// Sends a complete response, which ends an attempt with this outcome.
+    /// Sends a complete response, or the end of one, that ends the attempt with this outcome.
     async fn respond(writer: &mut OwnedWriteHalf, response: &str, outcome: AttemptOutcome) -> Self {
         let written = writer.write_all(response.as_bytes()).await;
         AttemptResult { outcome, persistence: Persistence::after_write(&written) }
     }
 
-    /// The connection ends while the request may have been executed.
+    /// The connection is lost, and the request may have been executed.
     fn connection_lost() -> Self {
         AttemptResult { outcome: AttemptOutcome::PossiblyExecuted, persistence: Persistence::Close }
     }
 }
 
 fn unix_milliseconds() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970").as_millis() as u64
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is before 1970").as_millis() as u64
 }
 
-/// Listens at an address that connections of an earlier listener may still occupy.
+/// Listens at an address even if connections of an earlier listener there are still open.
 fn listen(address: &str) -> TcpListener {
-    let socket = TcpSocket::new_v4().expect("a socket can be created");
-    socket.set_reuseaddr(true).expect("the option can be set");
-    socket.bind(address.parse().expect("the address is valid")).expect("the address is free");
-    socket.listen(LISTEN_BACKLOG).expect("the socket can listen")
+    let socket = TcpSocket::new_v4().expect("failed to create a socket");
+    socket.set_reuseaddr(true).expect("failed to set SO_REUSEADDR");
+    socket
+        .bind(address.parse().expect("invalid endpoint address"))
+        .expect("failed to bind the endpoint address");
+    socket.listen(LISTEN_BACKLOG).expect("failed to listen")
 }
 
 impl EndpointStub {
-    /// Starts an endpoint that has been up for long, and adds it to the endpoint list.
+    /// Starts an endpoint whose reported start time is long past, and adds it to the endpoint list.
     pub(crate) fn start(state: &RunState, role: Role, name: &str, address: String) -> Rc<Self> {
         let endpoint = Rc::new(EndpointStub {
             state: state.clone(),
@@ -113,12 +116,13 @@
         endpoint
     }
 
-    /// Accepts requests for this time without answering any.
+    /// Accepts requests for this long without responding to any.
     pub(crate) fn hang(&self, duration: Duration) {
         self.hangs_until.set(Some(Instant::now() + duration));
     }
 
-    /// Drains, leaves the list, and comes back `downtime` later. Does nothing during another restart.
+    /// Drains, leaves the endpoint list, and restarts after `downtime`. Does nothing if a restart is already
+    /// in progress.
     pub(crate) async fn drain_and_restart(self: &Rc<Self>, drain_time: Duration, downtime: Duration) {
         if self.restarting.replace(true) {
             return;
@@ -130,7 +134,8 @@
         self.restarting.set(false);
     }
 
-    /// Dies without an announcement, and comes back `downtime` later. Does nothing during another restart.
+    /// Crashes without a change to the endpoint list, and restarts after `downtime`. Does nothing if a
+    /// restart is already in progress.
     pub(crate) async fn crash_and_restart(self: &Rc<Self>, downtime: Duration) {
         if self.restarting.replace(true) {
             return;
@@ -150,7 +155,7 @@
         }));
     }
 
-    /// Puts the endpoint's lifecycle into the endpoint list.
+    /// Publishes the endpoint's lifecycle in the endpoint list.
     fn announce(&self, lifecycle: Lifecycle) {
         self.state.update_endpoint(ListedEndpoint {
             id: self.name.clone(),
@@ -161,7 +166,7 @@
         });
     }
 
-    /// Ends all connections, drops all reserved states, and starts anew after a while.
+    /// Closes all connections, drops all reserved state, and starts again after `downtime`.
     async fn restart(self: &Rc<Self>, downtime: Duration) {
         let task = self.task.borrow_mut().take();
         if let Some(task) = task {
@@ -174,7 +179,7 @@
         self.announce(Lifecycle::Ready);
     }
 
-    /// Serves the requests of one connection, one after another.
+    /// Serves the requests of one connection sequentially.
     async fn serve(self: Rc<Self>, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
         let (mut reader, mut writer) = socket.into_split();
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Releases the reservation that the path `/kv/leases/ID` names.
+    /// Releases the reservation of request ID, given in the path `/kv/leases/ID`.
     async fn release(&self, request: &Message, writer: &mut OwnedWriteHalf) -> Persistence {
         self.wait_out_hang().await;
         let request_id = request.head.split([' ', '/']).nth(4).unwrap_or_default();
@@ -211,7 +216,7 @@
         Persistence::after_write(&written)
     }
 
-    /// Serves one attempt, which ends at once if the replica closes the connection.
+    /// Serves one attempt; aborts it as soon as the replica closes the connection.
     async fn serve_attempt(
         &self, request: &Message, reader: &mut OwnedReadHalf, writer: &mut OwnedWriteHalf,
     ) -> Persistence {
@@ -225,7 +230,7 @@
             end: None,
         };
         let Some(id) = self.state.record_attempt(request_id, attempt) else {
-            panic!("no client sent a request {request_id:?}");
+            panic!("attempt for a request that no client sent: {request_id:?}");
         };
         let open = OpenAttempt { state: self.state.clone(), id: id.clone() };
         tokio::select! {
@@ -241,7 +246,8 @@
         }
     }
 
-    /// Executes one request after a random delay; 3 in 100 fail in one way or another.
+    /// Executes a request after a random delay. 3 requests in 100 fail: with an error response, a rejection
+    /// or a truncated response.
     async fn execute(&self, request_id: &str, writer: &mut OwnedWriteHalf) -> AttemptResult {
         sleep(self.state.draw_milliseconds(5..60)).await;
         self.wait_out_hang().await;
@@ -279,8 +285,8 @@
         self.stream(writer).await
     }
 
-    /// Sends a random number of events, each with its own number and the total; 10 streams in 1,000 break in
-    /// the middle.
+    /// Sends a random number of events, each with its own number and the total. 10 streams in 1,000 are cut
+    /// off after about half of the events.
     async fn stream(&self, writer: &mut OwnedWriteHalf) -> AttemptResult {
         let event_count = self.state.draw(2..20);
         let breaks = self.state.chance(10);
--- a/tests/soak/fault_injection.rs
+++ b/tests/soak/fault_injection.rs
@@ -1,4 +1,5 @@
-//! Injects faults into a run, several at a time: each begins at a random moment and lasts for a random time.
+//! Injects faults of random kinds at random times. Faults may overlap; those that last do so for a random
+//! time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,18 +15,18 @@
 use super::replica::ReplicaProcess;
 use super::run_state::RunState;
 
-/// Time before the first fault: all replicas know all endpoints by then.
+/// Time before the first fault, in which all replicas learn of all endpoints.
 const FAULT_FREE_START: Duration = Duration::from_millis(1_500);
-/// Time before the end of the load from which no more faults begin.
+/// Time before the end of the load in which no fault begins.
 const FAULT_FREE_END: Duration = Duration::from_secs(1);
-/// Mean time between two faults of a run with one replica, in milliseconds. With more replicas it is divided by
-/// their number, as one of them has a fault the more often.
+/// Mean time between two faults, in milliseconds, before it is divided by the number of replicas. The
+/// division keeps the fault rate of each replica the same in runs of different sizes.
 const SINGLE_REPLICA_FAULT_INTERVAL_MS: u64 = 2_400;
-/// The least number of replicas by which the mean time between two faults is divided.
+/// Smallest number by which the mean time between two faults is divided.
 const MIN_FAULT_INTERVAL_REPLICAS: u64 = 2;
-/// The greatest number of replicas by which the mean time between two faults is divided.
+/// Largest number by which the mean time between two faults is divided.
 const MAX_FAULT_INTERVAL_REPLICAS: u64 = 12;
-/// The shift of the wall clock, in seconds, forwards or backwards.
+/// Shift of the wall clock, forwards or backwards, in seconds.
 const CLOCK_SHIFT_SECONDS: i64 = 3_600;
 
 /// A kind of fault.
@@ -43,7 +44,7 @@
 }
 
 impl Fault {
-    /// Draws a kind; process faults are the most frequent.
+    /// Draws a random kind of fault; 4 in 13 are process faults.
     fn draw(state: &RunState) -> Self {
         match state.draw(0..13) {
             0..4 => Fault::Process,
@@ -58,13 +59,13 @@
     }
 }
 
-/// A fault of a replica's process; each replica has at most one at a time.
+/// A fault of a replica's process. Each replica has at most one at a time.
 #[derive(Clone, Copy, Debug)]
 enum ProcessFault {
     Restart,
     Kill,
     Pause,
-    /// Discovery moves twice in a row.
+    /// Two reloads in quick succession, each with a new discovery address.
     Reconfiguration,
 }
 
@@ -79,14 +80,16 @@
     }
 }
 
-/// What a fault may be injected into: a random replica, a random endpoint, or discovery for all replicas.
+/// The processes and stubs that a fault may affect: a random replica, a random endpoint, or the discovery
+/// stubs of all replicas.
 struct Targets {
     replica: Rc<ReplicaProcess>,
     endpoint: Rc<EndpointStub>,
     all_replicas: Vec<Rc<ReplicaProcess>>,
 }
 
-/// Injects faults until the load ends, without waiting for one to end before the next begins.
+/// Injects faults at random intervals until shortly before the load ends. A fault may begin before the
+/// previous one has ended.
 pub(crate) async fn run_faults(
     state: RunState, replicas: Vec<Rc<ReplicaProcess>>, endpoints: Vec<Rc<EndpointStub>>, load_end: Instant,
 ) {
@@ -144,7 +147,8 @@
     }
 }
 
-/// Lets some of a replica's system calls fail or transfer only a part of their bytes.
+/// Makes some of the replica's system calls fail, and some reads and writes transfer only a part of the
+/// bytes.
 async fn fail_system_calls(state: &RunState, replica: &ReplicaProcess) {
     state.record_fault("system calls fail");
     let connect_errors = [ENETUNREACH, EADDRNOTAVAIL, ENOBUFS];
--- a/tests/soak/invariant.rs
+++ b/tests/soak/invariant.rs
@@ -1,54 +1,56 @@
-//! The invariants of a run, and what a violation of one is.
+//! The invariants that a run verifies, and violations of them.
 
 use std::fmt;
 
-/// What holds for each request, whatever faults are injected.
+/// A property of each request that holds under any injected faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Invariant {
-    /// Each request gets a response.
+    /// A client that waits for a response gets one.
     Answered,
-    /// No connection is closed without a response to its first request, or to one that its replica accepted.
+    /// A connection is not closed without a response to its first request or to a request that the replica
+    /// has accepted.
     NotLost,
-    /// A rejection or failure comes in time.
+    /// A rejection or an error response arrives in time.
     AnsweredInTime,
-    /// No attempt is sent for a client that has disconnected.
+    /// No attempt is sent after the client has disconnected.
     ClientConnected,
-    /// An attempt carries no more time than the client has left.
+    /// The timeout forwarded with an attempt does not exceed the time that the client has left.
     TimeoutForwarded,
-    /// No attempt is sent to an endpoint that drains or is removed.
+    /// No attempt is sent to an endpoint that is draining or removed, once the drain grace is over.
     EndpointAvailable,
-    /// A request has one attempt at a time.
+    /// A request has at most one attempt in flight.
     SingleAttempt,
-    /// A request that is not idempotent is not sent again once it may have been executed.
+    /// A non-idempotent request is not sent again once it may have been executed.
     NotRepeated,
-    /// A request that is not idempotent is not rejected as safe to retry once it may have been executed.
+    /// A non-idempotent request is not rejected as safe to retry once it may have been executed.
     NotRejectedAfterExecution,
-    /// A reservation is used by an attempt or released in time.
+    /// A reservation is used by an attempt or released within the limit.
     ReservationInTime,
 }
 
 impl fmt::Display for Invariant {
-    /// Writes how the invariant is violated.
+    /// Describes the violation, not the invariant.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Invariant::Answered => "no response",
             Invariant::NotLost => "request lost",
             Invariant::AnsweredInTime => "response too late",
             Invariant::ClientConnected => "attempt after the client disconnected",
-            Invariant::TimeoutForwarded => "forwarded timeout too long",
-            Invariant::EndpointAvailable => "attempt after the drain grace",
-            Invariant::SingleAttempt => "two attempts at once",
-            Invariant::NotRepeated => "repeated after possible execution",
+            Invariant::TimeoutForwarded => "forwarded timeout exceeds the remaining time",
+            Invariant::EndpointAvailable => "attempt to a draining endpoint after the drain grace",
+            Invariant::SingleAttempt => "concurrent attempts",
+            Invariant::NotRepeated => "sent again after possible execution",
             Invariant::NotRejectedAfterExecution => "rejected after possible execution",
-            Invariant::ReservationInTime => "reserved too long",
+            Invariant::ReservationInTime => "reservation held too long",
         })
     }
 }
 
-/// A violated invariant.
+/// A violation of an invariant.
 #[derive(Clone, Debug)]
 pub(crate) struct Violation {
-    /// The request that the violation is about, if it is about one and was not found by a replica itself.
+    /// The affected request; `None` if the violation concerns no single request or comes from a replica's
+    /// log.
     pub(crate) request_id: Option<String>,
     pub(crate) message: String,
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,13 +1,14 @@
-//! A soak test: real replicas of the router with clients, endpoints and discovery on loopback sockets, and
-//! several injected faults at once. It verifies the invariants that hold under all of these faults.
+//! Soak test: runs router processes against simulated clients, endpoint stubs and discovery stubs on loopback
+//! sockets, injects several faults concurrently, and verifies that the invariants hold throughout.
 //!
-//! By default this is a short run of a few replicas. Environment variables set up another one:
+//! The default is a short run with a few replicas. Environment variables configure it:
 //!
-//! - `SOAK_SEED`: the seed of all random numbers,
-//! - `SOAK_ROUTERS`: the number of replicas,
-//! - `SOAK_SECONDS`: the duration of the load,
-//! - `SOAK_TOLERANCE_MS`: an allowance for the delays of the machine, added to each bound,
-//! - `SOAK_KEEP`: if set, the replicas' logs and configurations stay after the run.
+//! - `SOAK_SEED`: seed of the random number generator
+//! - `SOAK_ROUTERS`: number of replicas
+//! - `SOAK_SECONDS`: duration of the load, in seconds
+//! - `SOAK_TOLERANCE_MS`: scheduling delay of the test machine to tolerate, in milliseconds; added to each
+//!   time bound
+//! - `SOAK_KEEP`: if set, the logs and configuration files of the replicas are kept
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -38,30 +39,31 @@
 use run_state::{Role, RunState};
 use verifier::find_violations;
 
-/// Time after the load within which the open requests and faults come to their ends.
+/// Time after the end of the load for open requests and faults to finish.
 const SETTLING_TIME: Duration = Duration::from_secs(6);
-/// Prefill endpoints of a run.
+/// Number of prefill endpoints.
 const PREFILL_ENDPOINTS: usize = 6;
-/// Decode endpoints of a run.
+/// Number of decode endpoints.
 const DECODE_ENDPOINTS: usize = 8;
-/// The port of the first endpoint; the others follow it.
+/// Port of the first endpoint; the others use the ports that follow.
 const FIRST_ENDPOINT_PORT: usize = 9_000;
-/// Clients of a run, as a multiple of its replicas; each client connects to any replica.
+/// Number of clients for each replica. A client is not bound to one replica: it connects to a random one.
 const CLIENTS_PER_REPLICA: usize = 4;
 
-/// The seed without `SOAK_SEED`.
+/// Seed if `SOAK_SEED` is not set.
 const DEFAULT_SEED: u64 = 1;
-/// The number of replicas without `SOAK_ROUTERS`.
+/// Number of replicas if `SOAK_ROUTERS` is not set.
 const DEFAULT_REPLICAS: u64 = 4;
-/// The duration of the load without `SOAK_SECONDS`, in seconds.
+/// Duration of the load, in seconds, if `SOAK_SECONDS` is not set.
 const DEFAULT_LOAD_SECONDS: u64 = 10;
-/// The allowance for delays without `SOAK_TOLERANCE_MS`, in milliseconds.
+/// Tolerated delay, in milliseconds, if `SOAK_TOLERANCE_MS` is not set.
 const DEFAULT_TOLERANCE_MS: u64 = 400;
 
-/// Panics of the run's tasks, which would go unnoticed otherwise.
+/// Messages of panics in spawned tasks. The runtime catches these panics, so they do not fail the test by
+/// themselves.
 static TASK_PANICS: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-/// What a run is set up with.
+/// Options of a run.
 struct RunOptions {
     seed: u64,
     replica_count: usize,
@@ -82,7 +84,7 @@
 
 fn environment_number(name: &str, default: u64) -> u64 {
     match std::env::var(name) {
-        Ok(value) => value.parse().unwrap_or_else(|_| panic!("{name} is not a number")),
+        Ok(value) => value.parse().unwrap_or_else(|_| panic!("{name} must be a non-negative integer")),
         Err(_) => default,
     }
 }
@@ -110,17 +112,17 @@
     replicas
 }
 
-/// Terminates all replicas at once and returns their logs.
+/// Terminates all replicas concurrently and returns their concatenated logs.
 async fn finish_replicas(replicas: Vec<Rc<ReplicaProcess>>) -> String {
     let tasks: Vec<_> = replicas.into_iter().map(|replica| spawn_local(replica.finish())).collect();
     let mut logs = String::new();
     for task in tasks {
-        logs += &task.await.expect("the replica finishes");
+        logs += &task.await.expect("replica task panicked during termination");
     }
     logs
 }
 
-/// Runs replicas under load and faults, records what happens in `state`, and returns the replicas' logs.
+/// Runs the replicas under load and faults, records the events in `state`, and returns the replicas' logs.
 async fn run_load(state: &RunState, options: &RunOptions) -> String {
     let endpoints = start_endpoints(state);
     let replicas = start_replicas(state, options.replica_count).await;
@@ -132,19 +134,19 @@
     sleep_until(load_end).await;
     sleep(SETTLING_TIME).await;
     if replicas.iter().any(|replica| !replica.watches_endpoint_list()) {
-        state.record_violation("a replica does not watch the endpoint list");
+        state.record_violation("replica has no open watch of the endpoint list");
     }
     finish_replicas(replicas).await
 }
 
-/// Runs a future to its end and records the panics of its tasks.
+/// Runs a future to completion and records panics, including those of spawned tasks, in [`TASK_PANICS`].
 fn run_recording_panics<T>(future: impl Future<Output = T>) -> T {
     std::panic::set_hook(Box::new(|panic| {
         eprintln!("{panic}");
-        TASK_PANICS.lock().expect("no holder of the lock panics").push(panic.to_string());
+        TASK_PANICS.lock().expect("panic list lock poisoned").push(panic.to_string());
     }));
     let built = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = built.expect("a runtime can be built");
+    let runtime = built.expect("failed to build the runtime");
     let output = LocalSet::new().block_on(&runtime, future);
     let _ = std::panic::take_hook();
     output
@@ -157,7 +159,7 @@
     let logs = run_recording_panics(run_load(&state, &options));
     let violations = find_violations(&state.record.borrow(), &logs, options.tolerance);
     let mut report = Report::new(&state.record.borrow(), &violations, &logs);
-    report.violations.append(&mut TASK_PANICS.lock().expect("no holder of the lock panics"));
+    report.violations.append(&mut TASK_PANICS.lock().expect("panic list lock poisoned"));
     println!(
         "seed {}, {} replicas, {} s: {}",
         options.seed,
--- a/tests/soak/message.rs
+++ b/tests/soak/message.rs
@@ -1,19 +1,19 @@
-//! Reads HTTP/1.1 messages for the clients and stubs of a run.
+//! Minimal HTTP/1.1 message reader for the simulated clients and the stubs.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// What separates the head of a message from its body.
+/// The bytes that end the head of a message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A head and a body of the length that `Content-Length` gives. A chunked body is left unread.
+/// An HTTP message, whose body has the length given by `Content-Length`. A chunked body is not read.
 pub(crate) struct Message {
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
 }
 
-/// Whether a connection can carry another message after this one.
+/// Whether a connection can be used for another message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Persistence {
     KeepAlive,
@@ -21,26 +21,26 @@
 }
 
 impl Persistence {
-    /// Keeps the connection alive if a write to it succeeded.
+    /// Returns `KeepAlive` if the write succeeded and `Close` if it failed.
     pub(crate) fn after_write(result: &io::Result<()>) -> Self {
         if result.is_ok() { Persistence::KeepAlive } else { Persistence::Close }
     }
 }
 
 impl Message {
-    /// The value of a header, whose name is matched without regard to case.
+    /// Returns the value of a header; its name is matched case-insensitively.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut fields = self.head.lines().filter_map(|line| line.split_once(": "));
         fields.find(|(field, _)| field.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 }
 
-/// Reads one message, or `None` if the connection ends before the message is complete. Bytes that follow the
-/// message stay in `unread`, which is to be handed in again for the next one.
+/// Reads one message. Returns `None` if the connection ends before the message is complete. Bytes received
+/// after the message stay in `unread`, which the caller passes in again for the next message.
 ///
 /// # Errors
 ///
-/// Returns the error of a read that fails.
+/// Returns an error if reading from the connection fails.
 pub(crate) async fn read_message(
     reader: &mut (impl AsyncRead + Unpin), unread: &mut Vec<u8>,
 ) -> io::Result<Option<Message>> {
@@ -65,7 +65,7 @@
     Ok(Some(message))
 }
 
-/// Waits until the peer has closed or reset the connection; discards what it sends until then.
+/// Waits until the peer closes or resets the connection; discards any data received before.
 pub(crate) async fn wait_until_closed(reader: &mut (impl AsyncRead + Unpin)) {
     let mut discarded = [0; 1_024];
     while matches!(reader.read(&mut discarded).await, Ok(1..)) {}
--- a/tests/soak/replica.rs
+++ b/tests/soak/replica.rs
@@ -1,5 +1,5 @@
-//! Replicas of a run: real router processes, each with its discovery stub, which can be restarted, killed,
-//! paused and reconfigured.
+//! Replicas: router processes, each with its own discovery stub, that can be restarted, killed, paused and
+//! reconfigured.
 
 use std::cell::{Cell, RefCell};
 use std::fs::OpenOptions;
@@ -18,25 +18,26 @@
 use super::discovery::{DiscoveryStub, ListKind, list_line};
 use super::run_state::{Lifecycle, ListedEndpoint, RunState};
 
-/// Time from SIGTERM to SIGKILL: the longest timeout of a client (4 s; it counts as 3 s at least) plus 0.7 s.
+/// Time from SIGTERM to SIGKILL: 0.7 s plus the longest request timeout of the clients, which is 4 s here and
+/// never counts as less than 3 s.
 const TERMINATION_TIMEOUT: Duration = Duration::from_millis(4_700);
-/// Time within which a started process has to report that it is ready.
+/// Time within which a started process must report readiness.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two queries whether a process is ready.
+/// Interval between two readiness checks of a started process.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two checks whether a terminating process has exited.
+/// Interval between two checks for the exit of a terminating process.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The port of a replica's first discovery stub; each reconfiguration moves discovery to the next port.
+/// Port of a replica's first discovery stub. Each reconfiguration uses the next port.
 const FIRST_DISCOVERY_PORT: u32 = 8_500;
-/// The port at which a replica serves its clients.
+/// Port on which a replica serves clients.
 const CLIENT_PORT: u32 = 8_081;
 
-/// One replica, whose process may be started many times.
+/// A replica, whose process is started anew after each restart or kill.
 pub(crate) struct ReplicaProcess {
     state: RunState,
     number: usize,
     replica_count: usize,
-    /// The address of the replica and its discovery stubs.
+    /// Loopback IP address of the replica and its discovery stubs, without a port.
     base: String,
     faults: Faults,
     log: PathBuf,
@@ -50,7 +51,7 @@
 }
 
 impl ReplicaProcess {
-    /// A replica, not started yet, among `replica_count` ones.
+    /// Creates a replica of a run with `replica_count` replicas. Its process is not started.
     pub(crate) fn new(state: &RunState, number: usize, replica_count: usize) -> Rc<Self> {
         let base = address();
         let faults = Faults::new(&base, &[]);
@@ -72,37 +73,37 @@
         })
     }
 
-    /// The replica's position in the run, from 0.
+    /// Index of the replica in the run, starting at 0.
     pub(crate) fn number(&self) -> usize {
         self.number
     }
 
-    /// Where clients connect.
+    /// Address and port to which clients connect.
     pub(crate) fn client_address(&self) -> String {
         format!("{}:{CLIENT_PORT}", self.base)
     }
 
-    /// Whether clients may open connections to it.
+    /// Whether clients may open new connections to the replica.
     pub(crate) fn accepts_clients(&self) -> bool {
         self.accepts_clients.get()
     }
 
-    /// How often it was killed: the requests that were open then are lost with it.
+    /// Number of times that the replica was killed. The requests open at a kill are lost.
     pub(crate) fn kill_count(&self) -> u64 {
         self.kill_count.get()
     }
 
-    /// The time since its last SIGTERM, unless it has been started again since.
+    /// Time since the last SIGTERM; `None` if the process has been started again since.
     pub(crate) fn terminating_for(&self) -> Option<Duration> {
         self.terminating_since.get().map(|since| since.elapsed())
     }
 
-    /// Whether a fault of the process, such as a restart, is under way.
+    /// Whether a fault of the process, such as a restart, is in progress.
     pub(crate) fn has_process_fault(&self) -> bool {
         self.process_fault_active.get()
     }
 
-    /// Marks the begin of a process fault; false if another one is under way.
+    /// Marks the beginning of a process fault. Returns false if another one is in progress.
     pub(crate) fn try_begin_process_fault(&self) -> bool {
         !self.process_fault_active.replace(true)
     }
@@ -116,7 +117,7 @@
         format!("{}:{}", self.base, self.discovery_port.get())
     }
 
-    /// The text of a configuration with the present discovery address and endpoint list.
+    /// Returns a configuration with the current discovery address and endpoint list.
     fn configuration_text(&self) -> String {
         let path = configuration(
             &self.base,
@@ -127,11 +128,11 @@
                 (&format!("{}:{FIRST_DISCOVERY_PORT}", self.base), &self.discovery_address()),
             ],
         );
-        let text = std::fs::read_to_string(path).expect("the file was just written");
+        let text = std::fs::read_to_string(path).expect("failed to read the configuration file");
         text.replace("\"settings\"", &format!("\"known\":{},\"settings\"", self.known_endpoints()))
     }
 
-    /// The endpoint list as it is now; it is a little out of date when the process reads it.
+    /// Returns the current endpoint list. It may be outdated by the time the process reads it.
     fn known_endpoints(&self) -> String {
         let record = self.state.record.borrow();
         let listed = record.endpoints.values().map(|versioned| &versioned.endpoint);
@@ -140,7 +141,8 @@
         list_line(record.list_version, ListKind::Snapshot, &endpoints)
     }
 
-    /// Records what a new process knows: the contents of its configuration and nothing else.
+    /// Resets the record of what the process knows: a new process knows only the endpoints in its
+    /// configuration.
     fn record_known_endpoints(&self) {
         let mut record = self.state.record.borrow_mut();
         let listed = record.endpoints.values().map(|versioned| &versioned.endpoint);
@@ -149,16 +151,16 @@
         record.unavailable_since.insert(self.number, unavailable_since);
     }
 
-    /// Starts the process, and its discovery stub if it has none.
+    /// Starts the process, and the discovery stub if there is none.
     pub(crate) fn start(self: &Rc<Self>) {
         let text = self.configuration_text();
         self.record_known_endpoints();
         let path = file(&self.base, "config.json", &text);
-        let log = OpenOptions::new().append(true).open(&self.log).expect("the log can be opened");
+        let log = OpenOptions::new().append(true).open(&self.log).expect("failed to open the log file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_inference-router"));
         command.env("LB_CONFIG", path).env("RUST_LOG", "debug").envs(self.faults.variables());
         command.stdout(Stdio::null()).stderr(log);
-        *self.child.borrow_mut() = Some(command.spawn().expect("the program starts"));
+        *self.child.borrow_mut() = Some(command.spawn().expect("failed to start the router"));
         self.terminating_since.set(None);
         let replica = self.clone();
         spawn_local(async move {
@@ -173,13 +175,13 @@
         *self.discovery.borrow_mut() = Some(stub);
     }
 
-    /// Waits until the process reports that it is ready; clients may connect from then on.
+    /// Waits until the process reports readiness, and lets clients connect from then on.
     pub(crate) async fn wait_until_ready(&self) {
         let started = Instant::now();
         while !self.is_ready().await {
             assert!(
                 started.elapsed() < READY_TIMEOUT,
-                "replica {} is not ready: {}",
+                "replica {} not ready within the timeout; its log: {}",
                 self.number,
                 self.log_text()
             );
@@ -197,19 +199,19 @@
         response.starts_with(b"HTTP/1.1 200")
     }
 
-    /// Sends a signal, if the process was started; fails if the process has exited by itself.
+    /// Sends a signal to the process, if there is one. Panics if the signal cannot be sent.
     fn signal(&self, name: &str) {
         let Some(pid) = self.child.borrow().as_ref().map(Child::id) else { return };
         let status = Command::new("kill").args([&format!("-{name}"), &pid.to_string()]).status();
         assert!(
-            status.expect("kill runs").success(),
-            "replica {} has exited by itself: {}",
+            status.expect("failed to run kill").success(),
+            "replica {} exited unexpectedly; its log: {}",
             self.number,
             self.log_text()
         );
     }
 
-    /// Terminates the process gracefully and starts it again.
+    /// Terminates the process with SIGTERM and starts it again.
     pub(crate) async fn restart(self: &Rc<Self>) {
         self.accepts_clients.set(false);
         self.terminate().await;
@@ -217,14 +219,20 @@
         self.wait_until_ready().await;
     }
 
-    /// Terminates the process; kills it if it takes longer than [`TERMINATION_TIMEOUT`].
+    /// Sends SIGTERM, and SIGKILL if the process has not exited after [`TERMINATION_TIMEOUT`]. Panics if the
+    /// process exits with an error.
     async fn terminate(&self) {
         self.signal("TERM");
         let started = Instant::now();
         self.terminating_since.set(Some(started));
         loop {
             if let Some(status) = self.exit_status() {
-                assert!(status.success(), "replica {}: {status}: {}", self.number, self.log_text());
+                assert!(
+                    status.success(),
+                    "replica {} terminated with {status}; its log: {}",
+                    self.number,
+                    self.log_text()
+                );
                 break;
             }
             if started.elapsed() >= TERMINATION_TIMEOUT {
@@ -239,17 +247,17 @@
 
     fn exit_status(&self) -> Option<ExitStatus> {
         let mut child = self.child.borrow_mut();
-        child.as_mut()?.try_wait().expect("the process is a child of this one")
+        child.as_mut()?.try_wait().expect("failed to query the exit status of the replica")
     }
 
-    /// Waits for a process that has been killed.
+    /// Reaps a killed process.
     fn reap(&self) {
         if let Some(mut child) = self.child.borrow_mut().take() {
             let _ = child.wait();
         }
     }
 
-    /// Kills the process, and starts it again after a while.
+    /// Kills the process with SIGKILL and starts it again after `downtime`.
     pub(crate) async fn kill(self: &Rc<Self>, downtime: Duration) {
         self.accepts_clients.set(false);
         self.kill_count.set(self.kill_count.get() + 1);
@@ -260,15 +268,15 @@
         self.wait_until_ready().await;
     }
 
-    /// Stops the process for a while, as an overloaded machine may do.
+    /// Suspends the process for `duration`, as an overloaded machine might.
     pub(crate) async fn pause(&self, duration: Duration) {
         self.signal("STOP");
         sleep(duration).await;
         self.signal("CONT");
     }
 
-    /// Reloads a configuration that names another discovery address. Its file is only half written when
-    /// SIGHUP comes.
+    /// Makes the process reload a configuration with a new discovery address. The file is only half written
+    /// when the process receives SIGHUP, and is completed up to 300 ms later.
     pub(crate) async fn reconfigure(self: &Rc<Self>) {
         self.discovery_port.set(self.discovery_port.get() + 1);
         let old_discovery = self.discovery.borrow_mut().take();
@@ -283,19 +291,20 @@
         }
     }
 
-    /// Injects faults into the system calls of the process for a while; each is a line of the control file.
+    /// Injects faults into the system calls of the process for `duration`. Each fault is a line of the
+    /// control file of the fault library.
     pub(crate) async fn inject_system_call_faults(&self, faults: &[String], duration: Duration) {
         self.faults.set(faults);
         sleep(duration).await;
         self.faults.set(&[]);
     }
 
-    /// The replica's discovery stub; none in the moment at which it is replaced.
+    /// The replica's discovery stub; `None` while it is being started or replaced.
     pub(crate) fn discovery(&self) -> Option<Rc<DiscoveryStub>> {
         self.discovery.borrow().clone()
     }
 
-    /// Whether the process watches the endpoint list where its configuration says.
+    /// Whether the process has an open watch at the discovery address in its configuration.
     pub(crate) fn watches_endpoint_list(&self) -> bool {
         self.discovery.borrow().as_ref().is_some_and(|stub| stub.is_watched())
     }
@@ -304,7 +313,7 @@
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Terminates the process for good and returns its log. The files stay if `SOAK_KEEP` is set.
+    /// Terminates the process and returns its log. Deletes the replica's files unless `SOAK_KEEP` is set.
     pub(crate) async fn finish(self: Rc<Self>) -> String {
         self.accepts_clients.set(false);
         let is_running = self.child.borrow().is_some();
@@ -313,7 +322,7 @@
         }
         let log = self.log_text();
         if std::env::var_os("SOAK_KEEP").is_none() {
-            let _ = std::fs::remove_dir_all(self.log.parent().expect("the log is in a directory"));
+            let _ = std::fs::remove_dir_all(self.log.parent().expect("the log file has no parent directory"));
         }
         log
     }
--- a/tests/soak/report.rs
+++ b/tests/soak/report.rs
@@ -1,23 +1,22 @@
-//! Puts the result of a run into words: a summary, and the violations with what the logs say of their
-//! requests.
+//! Report of a run: a summary, and the violations with the log lines of the affected requests.
 
 use std::collections::BTreeMap;
 
 use super::invariant::Violation;
 use super::run_state::RunRecord;
 
-/// The greatest number of violations that are shown; the summary counts all.
+/// Maximum number of violations in a report. The summary counts all of them.
 const MAX_SHOWN_VIOLATIONS: usize = 20;
 
-/// The result of a run.
+/// The report of a run.
 pub(crate) struct Report {
     pub(crate) summary: String,
-    /// The violations that are shown, followed by the log lines of their requests; empty if there are none.
+    /// The first violations, followed by the log lines of their requests; empty if there was no violation.
     pub(crate) violations: Vec<String>,
 }
 
 impl Report {
-    /// Reports on a run, its violations and the replicas' logs.
+    /// Creates the report from the record of a run, its violations and the replicas' logs.
     pub(crate) fn new(record: &RunRecord, violations: &[Violation], logs: &str) -> Self {
         let summary = format!(
             "{} requests, {:?}, faults {:?}, {} violations",
@@ -34,8 +33,8 @@
     }
 }
 
-/// How many requests had each outcome; those without one had clients that disconnected, or were open at the
-/// end.
+/// Counts the requests by outcome. A request has no outcome if its client disconnected early or if it was
+/// still open at the end of the run.
 fn count_responses(record: &RunRecord) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for request in record.requests.values() {
@@ -51,7 +50,7 @@
     counts
 }
 
-/// The lines of the replicas' logs that name a request.
+/// Returns the log lines with the id of a request.
 fn request_trace(request_id: &str, logs: &str) -> String {
     let field = format!("request_id={request_id} ");
     let lines: Vec<_> = logs.lines().filter(|line| format!("{line} ").contains(&field)).collect();
--- a/tests/soak/verifier.rs
+++ b/tests/soak/verifier.rs
@@ -1,5 +1,4 @@
-//! Verifies the invariants of a run, from what its clients, endpoints and discovery stubs recorded and from
-//! the replicas' logs.
+//! Verifies the invariants of a run on the record of the clients and stubs and on the logs of the replicas.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -11,30 +10,29 @@
     Attempt, AttemptEnd, AttemptOutcome, Idempotency, RequestRecord, ResponseOutcome, Role, RunRecord,
 };
 
-/// Time after a client's disconnect within which an attempt for it may still arrive.
+/// Time after a client's disconnect within which attempts of its request may still arrive.
 const MAX_ATTEMPT_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
-/// How far the timeout that a replica forwards may exceed the client's remaining time when the attempt
-/// arrives.
+/// By how much the forwarded timeout may exceed the client's remaining time when the attempt arrives.
 const MAX_TIMEOUT_EXCESS: Duration = Duration::from_millis(150);
-/// Time after a replica learns that an endpoint drains within which attempts for it may still arrive: the
-/// replicas' setting `drainGrace` of 500 ms, and 50 ms for the way.
+/// Time after a replica has learned that an endpoint is draining within which attempts may still arrive
+/// there: the configured `drainGrace` of 500 ms, plus 50 ms of transmission time.
 const MAX_ATTEMPT_AFTER_DRAIN: Duration = Duration::from_millis(550);
-/// Time for which a state may be reserved at a prefill endpoint: the replicas' setting `pinLimit` of 1 s, and
-/// the 0.3 s that the operators allow for sockets.
+/// Time for which state may be reserved at a prefill endpoint with no attempt in flight: the configured
+/// `pinLimit` of 1 s, plus the 0.3 s that the operators allow for socket delays.
 const MAX_RESERVATION: Duration = Duration::from_millis(1_300);
-/// How far beyond the client's timeout a response may come.
+/// Time after the client's timeout within which a rejection or an error response may still arrive.
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
-/// Assumed length of a reservation that has no end in the record; longer than any that is allowed.
+/// Assumed duration of a reservation whose release is not on record; exceeds any allowed duration.
 const UNENDED_RESERVATION: Duration = Duration::from_secs(60);
 
-/// What a replica logs for each request that it accepts, up to the request's id.
+/// Beginning of the message that a replica logs for each accepted request; the request id follows.
 const ACCEPTED_LOG: &str = "request accepted request_id=";
-/// What marks a line of a replica's log that reports a violation.
+/// Marks a log line of a replica that reports a violation.
 const VIOLATION_LOG: &str = "violation: ";
-/// What marks a line of a replica's log that reports a panic.
+/// Marks a log line of a replica that reports a panic.
 const PANIC_LOG: &str = "panicked";
 
-/// A request under verification.
+/// The id and the record of a request.
 #[derive(Clone, Copy)]
 struct VerifiedRequest<'a> {
     id: &'a str,
@@ -43,14 +41,14 @@
 
 struct Verifier<'a> {
     record: &'a RunRecord,
-    /// Requests that a replica logged as accepted.
+    /// Ids of the requests that the replicas logged as accepted.
     accepted: HashSet<&'a str>,
-    /// Allowance for the delays of the machine, added to each bound.
+    /// Tolerated scheduling delay of the test machine, added to each time bound.
     tolerance: Duration,
     violations: Vec<Violation>,
 }
 
-/// Finds all violations of a run. The tolerance is an allowance for the delays of the machine.
+/// Returns all violations of a run. `tolerance` is the tolerated scheduling delay of the test machine.
 pub(crate) fn find_violations(record: &RunRecord, logs: &str, tolerance: Duration) -> Vec<Violation> {
     let accepted = logs.lines().filter_map(accepted_request_id).collect();
     let mut verifier = Verifier { record, accepted, tolerance, violations: Vec::new() };
@@ -66,7 +64,7 @@
     verifier.violations
 }
 
-/// The id of the request that a line of a log reports as accepted.
+/// Returns the request id if a log line reports an accepted request.
 fn accepted_request_id(line: &str) -> Option<&str> {
     let (_, fields) = line.split_once(ACCEPTED_LOG)?;
     let (id, _) = fields.split_once(' ')?;
@@ -74,17 +72,18 @@
 }
 
 impl VerifiedRequest<'_> {
-    /// When the client's timeout ends.
+    /// When the request timeout of the client expires.
     fn deadline(&self, sent_at: Instant) -> Instant {
         sent_at + Duration::from_millis(self.record.timeout_ms)
     }
 
-    /// Milliseconds from the moment at which the client had sent the request.
+    /// Milliseconds since the client sent the request; 0 if it was not sent completely.
     fn milliseconds_since_sent(&self, at: Instant) -> u128 {
         self.record.sent_at.map_or(0, |sent_at| at.saturating_duration_since(sent_at).as_millis())
     }
 
-    /// The request, its response and its attempts; times are milliseconds since the request was sent.
+    /// Describes the request, its response and its attempts. Times are in milliseconds since the request was
+    /// sent.
     fn describe(&self) -> String {
         let response = match self.record.response {
             Some(response) => {
@@ -107,7 +106,7 @@
     fn describe_attempt(&self, attempt: &Attempt) -> String {
         let end = match attempt.end {
             Some(end) => format!("{:?} at {}", end.outcome, self.milliseconds_since_sent(end.at)),
-            None => "still open".to_owned(),
+            None => "still in flight".to_owned(),
         };
         let arrived = self.milliseconds_since_sent(attempt.arrived_at);
         format!("{} at {arrived} with timeout {} ms: {end}", attempt.endpoint, attempt.timeout_ms)
@@ -120,7 +119,7 @@
         self.violations.push(Violation { request_id: Some(request.id.to_owned()), message });
     }
 
-    /// One final response, in time, for each request that was sent.
+    /// Checks that the request got a response, and a rejection or an error response in time.
     fn check_response(&mut self, request: VerifiedRequest<'_>) {
         let (Some(sent_at), Some(response)) = (request.record.sent_at, request.record.response) else {
             return;
@@ -131,28 +130,30 @@
         let latest = request.deadline(sent_at) + MAX_RESPONSE_DELAY + self.tolerance;
         match response.outcome {
             ResponseOutcome::TimedOut => {
-                self.report(Invariant::Answered, request, "the client's wait has ended");
+                self.report(Invariant::Answered, request, "client stopped waiting");
             }
             ResponseOutcome::ConnectionClosed if self.is_owed_response(request) => {
                 let first = request.record.first_on_connection;
-                let detail = format!("connection closed, first request on it: {first}");
+                let detail = format!("connection closed without a response, first request on it: {first}");
                 self.report(Invariant::NotLost, request, &detail);
             }
             ResponseOutcome::Rejected | ResponseOutcome::Failed if response.at > latest => {
-                self.report(Invariant::AnsweredInTime, request, "beyond the client's timeout");
+                self.report(Invariant::AnsweredInTime, request, "after the client's timeout");
             }
             _ => {}
         }
     }
 
-    /// A later request on a connection may cross the replica's close of the connection and never be read. Its
-    /// client then sends it again on another connection, unless the replica has accepted the request.
+    /// Whether the replica must respond even if it closes the connection. A request that is not the first on
+    /// its connection may arrive while the replica closes an idle connection, and is then never read; the
+    /// client may send it again on another connection. A request that the replica has accepted always gets a
+    /// response.
     fn is_owed_response(&self, request: VerifiedRequest<'_>) -> bool {
         request.record.first_on_connection || self.accepted.contains(request.id)
     }
 
-    /// Attempts are sent while the client is connected, to available endpoints, with the time left, one at a
-    /// time.
+    /// Checks that attempts are sent only while the client is connected, only to available endpoints, with at
+    /// most the remaining time, and one at a time.
     fn check_attempts(&mut self, request: VerifiedRequest<'_>) {
         let Some(sent_at) = request.record.sent_at else { return };
         let deadline = request.deadline(sent_at);
@@ -164,7 +165,7 @@
             let remaining = deadline.saturating_duration_since(attempt.arrived_at);
             let longest_timeout = remaining + MAX_TIMEOUT_EXCESS + self.tolerance;
             if Duration::from_millis(attempt.timeout_ms) > longest_timeout {
-                let timeouts = format!("{} ms of at most {longest_timeout:?}", attempt.timeout_ms);
+                let timeouts = format!("{} ms, at most {longest_timeout:?} allowed", attempt.timeout_ms);
                 self.report(Invariant::TimeoutForwarded, request, &timeouts);
             }
             if self.is_after_drain(request, attempt) {
@@ -192,13 +193,13 @@
         delay > MAX_ATTEMPT_AFTER_DRAIN + self.tolerance
     }
 
-    /// Whether an attempt was still open when a later one arrived.
+    /// Whether an attempt was still in flight when a later one arrived.
     fn is_open_at(&self, attempt: &Attempt, arrived_at: Instant) -> bool {
         attempt.end.is_none_or(|end| end.at > arrived_at + self.tolerance)
     }
 
-    /// What may have been executed is neither sent again nor rejected as safe to retry, unless it is
-    /// idempotent.
+    /// Checks that a non-idempotent request that may have been executed is neither sent again nor rejected as
+    /// safe to retry.
     fn check_repeats(&mut self, request: VerifiedRequest<'_>) {
         if request.record.idempotency == Idempotency::Idempotent {
             return;
@@ -215,8 +216,8 @@
         }
     }
 
-    /// Each prefilled state is used by an attempt or released in time; while an attempt is open, no time
-    /// counts.
+    /// Checks that reserved state is used by an attempt or released in time. Time with an attempt in flight
+    /// does not count.
     fn check_reservations(&mut self, request: VerifiedRequest<'_>) {
         if request.record.replica_terminated {
             return;
@@ -241,7 +242,7 @@
         self.check_reserved_between(request, prefilled_at, end);
     }
 
-    /// Checks the times between attempts, up to the attempt that uses the state or prefills it again.
+    /// Checks each interval between attempts, up to the attempt that uses the state or prefills it again.
     fn check_used_reservation(
         &mut self, request: VerifiedRequest<'_>, prefilled_at: Instant, later_attempts: &[Attempt],
     ) {
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Checks a time within which a state is reserved and no attempt is open.
+    /// Checks an interval in which state is reserved and no attempt is in flight.
     fn check_reserved_between(&mut self, request: VerifiedRequest<'_>, since: Instant, until: Instant) {
         let longest = MAX_RESERVATION + self.tolerance;
         let first_release = first_release(request.record, since);
@@ -269,12 +270,12 @@
         let Some(released_at) = first_release else { return };
         if released_at < until && released_at > since + longest {
             let until_release = released_at.saturating_duration_since(since);
-            let detail = format!("for {} ms until it was released", until_release.as_millis());
+            let detail = format!("for {} ms until its release", until_release.as_millis());
             self.report(Invariant::ReservationInTime, request, &detail);
         }
     }
 
-    /// No replica found a violation itself, and none panicked.
+    /// Checks that no replica logged a violation or a panic.
     fn check_logs(&mut self, logs: &str) {
         for line in logs.lines() {
             if line.contains(VIOLATION_LOG) || line.contains(PANIC_LOG) {
@@ -283,7 +284,7 @@
         }
     }
 
-    /// No party of the run recorded a violation.
+    /// Reports the violations that were recorded during the run.
     fn check_recorded_violations(&mut self) {
         for (name, count) in &self.record.violations {
             let message = format!("{name}, {count} times");
@@ -298,7 +299,7 @@
     attempt.role == Role::Decode && !not_started
 }
 
-/// The first release that was recorded at or after a moment.
+/// Returns the time of the first release at or after `since`.
 fn first_release(record: &RequestRecord, since: Instant) -> Option<Instant> {
     record.released_at.iter().find(|released_at| **released_at >= since).copied()
 }
