--- a/tests/soak/client.rs
+++ b/tests/soak/client.rs
@@ -21,9 +21,9 @@
 const IDLE_CLOSE_TIMEOUT: Duration = Duration::from_millis(3_400);
 /// Time after SIGTERM from which a response may be missing or incomplete, because the replica is about to be
 /// killed.
-const TERMINATION_EXEMPTION: Duration = Duration::from_secs(4);
+const TERMINATION_EXEMPTION_DELAY: Duration = Duration::from_secs(4);
 /// Size of each write of a slow client, in bytes.
-const SLOW_WRITE_PIECE_BYTES: usize = 60;
+const SLOW_WRITE_BYTES: usize = 60;
 /// The body of every request.
 const BODY: &str = r#"{"model":"chat","stream":true}"#;
 /// Incomplete request head, sent by some idle clients.
@@ -78,11 +78,11 @@
         self.replica.kill_count() != self.kill_count
     }
 
-    /// Whether the replica was killed, or has been terminating for more than [`TERMINATION_EXEMPTION`] and
-    /// may be killed at any time. A missing or late response is then no violation.
+    /// Whether the replica was killed, or has been terminating for more than [`TERMINATION_EXEMPTION_DELAY`]
+    /// and may be killed at any time. A missing or late response is then no violation.
     fn is_exempt(&self) -> bool {
         let terminating_for = self.replica.terminating_for();
-        self.was_killed() || terminating_for.is_some_and(|duration| duration > TERMINATION_EXEMPTION)
+        self.was_killed() || terminating_for.is_some_and(|duration| duration > TERMINATION_EXEMPTION_DELAY)
     }
 }
 
@@ -93,18 +93,18 @@
     let mut connection = None;
     let mut request_count = 0u64;
     while Instant::now() < load_end {
-        sleep(state.draw_milliseconds(20..700)).await;
-        if state.chance(60) {
+        sleep(state.draw_duration_ms(20..700)).await;
+        if state.chance_per_thousand(60) {
             idle_on_connection(&state, &replicas).await;
             continue;
         }
-        if connection.is_none() || state.chance(100) {
+        if connection.is_none() || state.chance_per_thousand(100) {
             connection = Connection::open(&state, &replicas).await;
         }
-        let Some(open) = connection.as_mut() else { continue };
+        let Some(open_connection) = connection.as_mut() else { continue };
         request_count += 1;
         let id = format!("c{number}-{request_count}");
-        if exchange(&state, open, &id).await == Persistence::Close {
+        if exchange(&state, open_connection, &id).await == Persistence::Close {
             connection = None;
         }
     }
@@ -114,7 +114,7 @@
 /// connection within [`IDLE_CLOSE_TIMEOUT`].
 async fn idle_on_connection(state: &RunState, replicas: &[Rc<ReplicaProcess>]) {
     let Some(mut connection) = Connection::open(state, replicas).await else { return };
-    if state.chance(500) {
+    if state.chance_per_thousand(500) {
         let _ = connection.socket.write_all(PARTIAL_HEAD).await;
     }
     let closed = timeout(IDLE_CLOSE_TIMEOUT, wait_until_closed(&mut connection.socket)).await.is_ok();
@@ -146,7 +146,7 @@
     /// Draws random parameters; 300 requests in 1,000 are not idempotent.
     fn draw(state: &RunState) -> Self {
         let idempotency =
-            if state.chance(300) { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
+            if state.chance_per_thousand(300) { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
         let timeout_ms = state.draw(1_500..4_000);
         let prefix = state.draw(0..5);
         RequestParameters { idempotency, timeout_ms, prefix }
@@ -156,7 +156,7 @@
 /// Returns the initial record of a request that is about to be sent.
 fn new_record(connection: &Connection, parameters: RequestParameters) -> RequestRecord {
     RequestRecord {
-        replica: connection.replica.number(),
+        replica_index: connection.replica.index(),
         idempotency: parameters.idempotency,
         first_on_connection: connection.request_count == 0,
         sent_at: None,
@@ -173,11 +173,11 @@
 /// read slowly.
 fn draw_read_behavior(state: &RunState, sent_at: Instant, deadline: Instant) -> ReadBehavior {
     let mut behavior = ReadBehavior { deadline, disconnect_at: None, pause: None };
-    if state.chance(100) {
-        behavior.disconnect_at = Some(sent_at + state.draw_milliseconds(0..900));
+    if state.chance_per_thousand(100) {
+        behavior.disconnect_at = Some(sent_at + state.draw_duration_ms(0..900));
     }
-    if state.chance(50) {
-        behavior.pause = Some(state.draw_milliseconds(100..900));
+    if state.chance_per_thousand(50) {
+        behavior.pause = Some(state.draw_duration_ms(100..900));
     }
     behavior
 }
@@ -216,12 +216,12 @@
          Content-Length: {}\r\n\r\n{BODY}",
         BODY.len()
     );
-    if !state.chance(100) {
+    if !state.chance_per_thousand(100) {
         return connection.socket.write_all(text.as_bytes()).await;
     }
-    for piece in text.as_bytes().chunks(SLOW_WRITE_PIECE_BYTES) {
+    for piece in text.as_bytes().chunks(SLOW_WRITE_BYTES) {
         connection.socket.write_all(piece).await?;
-        sleep(state.draw_milliseconds(1..120)).await;
+        sleep(state.draw_duration_ms(1..120)).await;
     }
     Ok(())
 }
--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -39,7 +39,7 @@
 /// A discovery stub that serves one replica.
 pub(crate) struct DiscoveryStub {
     state: RunState,
-    replica: usize,
+    replica_index: usize,
     /// Until then, responses and list changes are held back.
     silent_until: Cell<Option<Instant>>,
     /// Number of resets so far; a change closes all open watches.
@@ -71,11 +71,11 @@
 
 impl DiscoveryStub {
     /// Starts a stub for a replica at an address.
-    pub(crate) async fn start(state: &RunState, replica: usize, address: &str) -> Rc<Self> {
+    pub(crate) async fn start(state: &RunState, replica_index: usize, address: &str) -> Rc<Self> {
         let listener = TcpListener::bind(address).await.expect("failed to bind the discovery address");
         let stub = Rc::new(DiscoveryStub {
             state: state.clone(),
-            replica,
+            replica_index,
             silent_until: Cell::new(None),
             resets: watch::Sender::new(0),
             open_watches: Cell::new(0),
@@ -114,7 +114,7 @@
         self.open_watches.get() > 0
     }
 
-    async fn wait_out_silence(&self) {
+    async fn wait_until_silence_ends(&self) {
         while let Some(until) = self.silent_until.get().filter(|until| *until > Instant::now()) {
             sleep_until(until).await;
         }
@@ -126,7 +126,7 @@
         let (mut reader, mut writer) = socket.into_split();
         let mut resets = self.resets.subscribe();
         let Ok(Some(request)) = read_message(&mut reader, &mut Vec::new()).await else { return };
-        self.wait_out_silence().await;
+        self.wait_until_silence_ends().await;
         let since = request.head.split("since=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
         let Some(since) = since else {
             self.send_snapshot(&mut writer).await;
@@ -170,9 +170,9 @@
         loop {
             let version = *list_changed.borrow_and_update();
             let message = self.delta(since);
-            self.wait_out_silence().await;
+            self.wait_until_silence_ends().await;
             let text = if message.endpoints.is_empty() { "\n" } else { &message.text };
-            self.send_in_pieces(text, writer).await?;
+            self.send_in_chunks(text, writer).await?;
             self.record_notified(&message.endpoints);
             since = since.max(version);
             let _ = timeout(KEEP_ALIVE_INTERVAL, list_changed.changed()).await;
@@ -180,14 +180,14 @@
     }
 
     /// Sends the text in chunks of random sizes, with random pauses between some of them.
-    async fn send_in_pieces(&self, text: &str, writer: &mut OwnedWriteHalf) -> io::Result<()> {
+    async fn send_in_chunks(&self, text: &str, writer: &mut OwnedWriteHalf) -> io::Result<()> {
         let mut unsent = text;
         while !unsent.is_empty() {
             let length = self.state.draw(1..400) as usize;
             let (piece, rest) = unsent.split_at(length.min(unsent.len()));
             writer.write_all(format!("{:x}\r\n{piece}\r\n", piece.len()).as_bytes()).await?;
-            if !rest.is_empty() && self.state.chance(200) {
-                sleep(self.state.draw_milliseconds(1..5)).await;
+            if !rest.is_empty() && self.state.chance_per_thousand(200) {
+                sleep(self.state.draw_duration_ms(1..5)).await;
             }
             unsent = rest;
         }
@@ -197,7 +197,7 @@
     /// Records since when the replica has known which of these endpoints accept no new attempts.
     fn record_notified(&self, endpoints: &[ListedEndpoint]) {
         let mut record = self.state.record.borrow_mut();
-        let unavailable_since = record.unavailable_since.entry(self.replica).or_default();
+        let unavailable_since = record.unavailable_since.entry(self.replica_index).or_default();
         for endpoint in endpoints {
             if endpoint.lifecycle == Lifecycle::Ready {
                 unavailable_since.remove(&endpoint.id);
--- a/tests/soak/endpoint.rs
+++ b/tests/soak/endpoint.rs
@@ -54,12 +54,12 @@
 
 /// Guard that records the end of an attempt when it is dropped, so that an attempt whose task is aborted with
 /// its endpoint has an end too. Has no effect if an end is already recorded.
-struct OpenAttempt {
+struct AttemptGuard {
     state: RunState,
     id: AttemptId,
 }
 
-impl Drop for OpenAttempt {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         self.state.record_attempt_end(&self.id, AttemptOutcome::PossiblyExecuted);
     }
@@ -112,7 +112,7 @@
             restarting: Cell::new(false),
         });
         endpoint.spawn();
-        endpoint.announce(Lifecycle::Ready);
+        endpoint.publish_lifecycle(Lifecycle::Ready);
         endpoint
     }
 
@@ -127,9 +127,9 @@
         if self.restarting.replace(true) {
             return;
         }
-        self.announce(Lifecycle::Draining);
+        self.publish_lifecycle(Lifecycle::Draining);
         sleep(drain_time).await;
-        self.announce(Lifecycle::Removed);
+        self.publish_lifecycle(Lifecycle::Removed);
         self.restart(downtime).await;
         self.restarting.set(false);
     }
@@ -156,7 +156,7 @@
     }
 
     /// Publishes the endpoint's lifecycle in the endpoint list.
-    fn announce(&self, lifecycle: Lifecycle) {
+    fn publish_lifecycle(&self, lifecycle: Lifecycle) {
         self.state.update_endpoint(ListedEndpoint {
             id: self.name.clone(),
             address: self.address.clone(),
@@ -176,7 +176,7 @@
         sleep(downtime).await;
         self.started_ms.set(unix_milliseconds());
         self.spawn();
-        self.announce(Lifecycle::Ready);
+        self.publish_lifecycle(Lifecycle::Ready);
     }
 
     /// Serves the requests of one connection sequentially.
@@ -200,7 +200,7 @@
         }
     }
 
-    async fn wait_out_hang(&self) {
+    async fn wait_until_hang_ends(&self) {
         while let Some(until) = self.hangs_until.get().filter(|until| *until > Instant::now()) {
             sleep_until(until).await;
         }
@@ -208,7 +208,7 @@
 
     /// Releases the reservation of request ID, given in the path `/kv/leases/ID`.
     async fn release(&self, request: &Message, writer: &mut OwnedWriteHalf) -> Persistence {
-        self.wait_out_hang().await;
+        self.wait_until_hang_ends().await;
         let request_id = request.head.split([' ', '/']).nth(4).unwrap_or_default();
         self.state.record.borrow_mut().reservations.remove(request_id);
         self.state.update_request(request_id, |record| record.released_at.push(Instant::now()));
@@ -232,11 +232,11 @@
         let Some(id) = self.state.record_attempt(request_id, attempt) else {
             panic!("attempt for a request that no client sent: {request_id:?}");
         };
-        let open = OpenAttempt { state: self.state.clone(), id: id.clone() };
+        let guard = AttemptGuard { state: self.state.clone(), id: id.clone() };
         tokio::select! {
             result = self.execute(request_id, writer) => {
                 self.state.record_attempt_end(&id, result.outcome);
-                drop(open);
+                drop(guard);
                 result.persistence
             }
             () = wait_until_closed(reader) => {
@@ -249,8 +249,8 @@
     /// Executes a request after a random delay. 3 requests in 100 fail: with an error response, a rejection
     /// or a truncated response.
     async fn execute(&self, request_id: &str, writer: &mut OwnedWriteHalf) -> AttemptResult {
-        sleep(self.state.draw_milliseconds(5..60)).await;
-        self.wait_out_hang().await;
+        sleep(self.state.draw_duration_ms(5..60)).await;
+        self.wait_until_hang_ends().await;
         match self.state.draw(0..100) {
             0 => {
                 return AttemptResult::respond(writer, ERROR_RESPONSE, AttemptOutcome::PossiblyExecuted)
@@ -289,7 +289,7 @@
     /// off after about half of the events.
     async fn stream(&self, writer: &mut OwnedWriteHalf) -> AttemptResult {
         let event_count = self.state.draw(2..20);
-        let breaks = self.state.chance(10);
+        let is_cut_off = self.state.chance_per_thousand(10);
         if writer.write_all(STREAM_HEAD.as_bytes()).await.is_err() {
             return AttemptResult::connection_lost();
         }
@@ -297,11 +297,11 @@
             let event = format!("data: {{\"n\":{number},\"of\":{event_count}}}\n\n");
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             let written = writer.write_all(chunk.as_bytes()).await;
-            if written.is_err() || (breaks && number == event_count / 2) {
+            if written.is_err() || (is_cut_off && number == event_count / 2) {
                 return AttemptResult::connection_lost();
             }
-            sleep(self.state.draw_milliseconds(5..60)).await;
-            self.wait_out_hang().await;
+            sleep(self.state.draw_duration_ms(5..60)).await;
+            self.wait_until_hang_ends().await;
         }
         AttemptResult::respond(writer, STREAM_END, AttemptOutcome::PossiblyExecuted).await
     }
--- a/tests/soak/fault_injection.rs
+++ b/tests/soak/fault_injection.rs
@@ -1,5 +1,4 @@
-//! Injects faults of random kinds at random times. Faults may overlap; those that last do so for a random
-//! time.
+//! Injects random faults, at random times and of random durations. Faults may overlap.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,13 +18,13 @@
 const FAULT_FREE_START: Duration = Duration::from_millis(1_500);
 /// Time before the end of the load in which no fault begins.
 const FAULT_FREE_END: Duration = Duration::from_secs(1);
-/// Mean time between two faults, in milliseconds, before it is divided by the number of replicas. The
-/// division keeps the fault rate of each replica the same in runs of different sizes.
-const SINGLE_REPLICA_FAULT_INTERVAL_MS: u64 = 2_400;
+/// Mean time between two faults, in milliseconds, before it is divided by the number of replicas. Within the
+/// two limits below, the division keeps the fault rate of each replica the same in runs of different sizes.
+const BASE_FAULT_INTERVAL_MS: u64 = 2_400;
 /// Smallest number by which the mean time between two faults is divided.
-const MIN_FAULT_INTERVAL_REPLICAS: u64 = 2;
+const MIN_FAULT_INTERVAL_DIVISOR: u64 = 2;
 /// Largest number by which the mean time between two faults is divided.
-const MAX_FAULT_INTERVAL_REPLICAS: u64 = 12;
+const MAX_FAULT_INTERVAL_DIVISOR: u64 = 12;
 /// Shift of the wall clock, forwards or backwards, in seconds.
 const CLOCK_SHIFT_SECONDS: i64 = 3_600;
 
@@ -82,7 +81,7 @@
 
 /// The processes and stubs that a fault may affect: a random replica, a random endpoint, or the discovery
 /// stubs of all replicas.
-struct Targets {
+struct FaultTargets {
     replica: Rc<ReplicaProcess>,
     endpoint: Rc<EndpointStub>,
     all_replicas: Vec<Rc<ReplicaProcess>>,
@@ -94,54 +93,54 @@
     state: RunState, replicas: Vec<Rc<ReplicaProcess>>, endpoints: Vec<Rc<EndpointStub>>, load_end: Instant,
 ) {
     sleep(FAULT_FREE_START).await;
-    let counted_replicas =
-        (replicas.len() as u64).clamp(MIN_FAULT_INTERVAL_REPLICAS, MAX_FAULT_INTERVAL_REPLICAS);
-    let interval_ms = SINGLE_REPLICA_FAULT_INTERVAL_MS / counted_replicas;
+    let interval_divisor =
+        (replicas.len() as u64).clamp(MIN_FAULT_INTERVAL_DIVISOR, MAX_FAULT_INTERVAL_DIVISOR);
+    let interval_ms = BASE_FAULT_INTERVAL_MS / interval_divisor;
     while Instant::now() + FAULT_FREE_END < load_end {
-        let replica = choose(&state, &replicas);
-        let endpoint = choose(&state, &endpoints);
-        let targets = Targets { replica, endpoint, all_replicas: replicas.clone() };
+        let replica = choose_random(&state, &replicas);
+        let endpoint = choose_random(&state, &endpoints);
+        let targets = FaultTargets { replica, endpoint, all_replicas: replicas.clone() };
         spawn_local(inject_fault(state.clone(), targets));
-        sleep(state.draw_milliseconds(interval_ms / 2..interval_ms * 3 / 2)).await;
+        sleep(state.draw_duration_ms(interval_ms / 2..interval_ms * 3 / 2)).await;
     }
 }
 
-fn choose<T>(state: &RunState, all: &[Rc<T>]) -> Rc<T> {
+fn choose_random<T>(state: &RunState, all: &[Rc<T>]) -> Rc<T> {
     all[state.draw_index(all.len())].clone()
 }
 
-async fn inject_fault(state: RunState, targets: Targets) {
+async fn inject_fault(state: RunState, targets: FaultTargets) {
     match Fault::draw(&state) {
         Fault::Process => inject_process_fault(&state, &targets.replica).await,
         Fault::SystemCallFailures => fail_system_calls(&state, &targets.replica).await,
         Fault::ClockShift => shift_clock(&state, &targets.replica).await,
         Fault::DiscoverySilence => {
             state.record_fault("discovery silent");
-            let duration = state.draw_milliseconds(1_000..4_000);
-            for_each_discovery(&targets.all_replicas, |stub| stub.silence(duration));
+            let duration = state.draw_duration_ms(1_000..4_000);
+            for_each_discovery_stub(&targets.all_replicas, |stub| stub.silence(duration));
         }
         Fault::WatchReset => {
             state.record_fault("watches reset");
-            for_each_discovery(&targets.all_replicas, DiscoveryStub::reset_watches);
+            for_each_discovery_stub(&targets.all_replicas, DiscoveryStub::reset_watches);
         }
         Fault::EndpointHang => {
             state.record_fault("endpoint hangs");
-            targets.endpoint.hang(state.draw_milliseconds(500..2_500));
+            targets.endpoint.hang(state.draw_duration_ms(500..2_500));
         }
         Fault::EndpointDrain => {
             state.record_fault("endpoint drained and replaced");
-            let drain_time = state.draw_milliseconds(500..1_500);
-            let downtime = state.draw_milliseconds(200..1_000);
+            let drain_time = state.draw_duration_ms(500..1_500);
+            let downtime = state.draw_duration_ms(200..1_000);
             targets.endpoint.drain_and_restart(drain_time, downtime).await;
         }
         Fault::EndpointCrash => {
             state.record_fault("endpoint crashes");
-            targets.endpoint.crash_and_restart(state.draw_milliseconds(300..2_000)).await;
+            targets.endpoint.crash_and_restart(state.draw_duration_ms(300..2_000)).await;
         }
     }
 }
 
-fn for_each_discovery(replicas: &[Rc<ReplicaProcess>], action: impl Fn(&DiscoveryStub)) {
+fn for_each_discovery_stub(replicas: &[Rc<ReplicaProcess>], action: impl Fn(&DiscoveryStub)) {
     for stub in replicas.iter().filter_map(|replica| replica.discovery()) {
         action(&stub);
     }
@@ -160,13 +159,13 @@
         failing("epoll", EINTR, 30),
         failing("short", 0, 50),
     ];
-    replica.inject_system_call_faults(&faults, state.draw_milliseconds(300..1_500)).await;
+    replica.inject_system_call_faults(&faults, state.draw_duration_ms(300..1_500)).await;
 }
 
 async fn shift_clock(state: &RunState, replica: &ReplicaProcess) {
     state.record_fault("wall clock shifted");
-    let seconds = if state.chance(500) { CLOCK_SHIFT_SECONDS } else { -CLOCK_SHIFT_SECONDS };
-    replica.inject_system_call_faults(&[clock_off(seconds)], state.draw_milliseconds(1_000..3_000)).await;
+    let seconds = if state.chance_per_thousand(500) { CLOCK_SHIFT_SECONDS } else { -CLOCK_SHIFT_SECONDS };
+    replica.inject_system_call_faults(&[clock_off(seconds)], state.draw_duration_ms(1_000..3_000)).await;
 }
 
 async fn inject_process_fault(state: &RunState, replica: &Rc<ReplicaProcess>) {
@@ -180,11 +179,11 @@
         }
         ProcessFault::Kill => {
             state.record_fault("replica killed");
-            replica.kill(state.draw_milliseconds(100..800)).await;
+            replica.kill(state.draw_duration_ms(100..800)).await;
         }
         ProcessFault::Pause => {
             state.record_fault("replica paused");
-            replica.pause(state.draw_milliseconds(50..150)).await;
+            replica.pause(state.draw_duration_ms(50..150)).await;
         }
         ProcessFault::Reconfiguration => {
             state.record_fault("discovery moved twice in a row");
--- a/tests/soak/invariant.rs
+++ b/tests/soak/invariant.rs
@@ -9,7 +9,7 @@
     Answered,
     /// A connection is not closed without a response to its first request or to a request that the replica
     /// has accepted.
-    NotLost,
+    RequestNotLost,
     /// A rejection or an error response arrives in time.
     AnsweredInTime,
     /// No attempt is sent after the client has disconnected.
@@ -21,7 +21,7 @@
     /// A request has at most one attempt in flight.
     SingleAttempt,
     /// A non-idempotent request is not sent again once it may have been executed.
-    NotRepeated,
+    NotRepeatedAfterExecution,
     /// A non-idempotent request is not rejected as safe to retry once it may have been executed.
     NotRejectedAfterExecution,
     /// A reservation is used by an attempt or released within the limit.
@@ -33,13 +33,13 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Invariant::Answered => "no response",
-            Invariant::NotLost => "request lost",
+            Invariant::RequestNotLost => "request lost",
             Invariant::AnsweredInTime => "response too late",
             Invariant::ClientConnected => "attempt after the client disconnected",
             Invariant::TimeoutForwarded => "forwarded timeout exceeds the remaining time",
             Invariant::EndpointAvailable => "attempt to a draining endpoint after the drain grace",
             Invariant::SingleAttempt => "concurrent attempts",
-            Invariant::NotRepeated => "sent again after possible execution",
+            Invariant::NotRepeatedAfterExecution => "sent again after possible execution",
             Invariant::NotRejectedAfterExecution => "rejected after possible execution",
             Invariant::ReservationInTime => "reservation held too long",
         })
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -102,7 +102,7 @@
 }
 
 async fn start_replicas(state: &RunState, count: usize) -> Vec<Rc<ReplicaProcess>> {
-    let replicas: Vec<_> = (0..count).map(|number| ReplicaProcess::new(state, number, count)).collect();
+    let replicas: Vec<_> = (0..count).map(|index| ReplicaProcess::new(state, index, count)).collect();
     for replica in &replicas {
         replica.start();
     }
@@ -145,8 +145,8 @@
         eprintln!("{panic}");
         TASK_PANICS.lock().expect("panic list lock poisoned").push(panic.to_string());
     }));
-    let built = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = built.expect("failed to build the runtime");
+    let build_result = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = build_result.expect("failed to build the runtime");
     let output = LocalSet::new().block_on(&runtime, future);
     let _ = std::panic::take_hook();
     output
--- a/tests/soak/replica.rs
+++ b/tests/soak/replica.rs
@@ -35,7 +35,7 @@
 /// A replica, whose process is started anew after each restart or kill.
 pub(crate) struct ReplicaProcess {
     state: RunState,
-    number: usize,
+    index: usize,
     replica_count: usize,
     /// Loopback IP address of the replica and its discovery stubs, without a port.
     base: String,
@@ -52,13 +52,13 @@
 
 impl ReplicaProcess {
     /// Creates a replica of a run with `replica_count` replicas. Its process is not started.
-    pub(crate) fn new(state: &RunState, number: usize, replica_count: usize) -> Rc<Self> {
+    pub(crate) fn new(state: &RunState, index: usize, replica_count: usize) -> Rc<Self> {
         let base = address();
         let faults = Faults::new(&base, &[]);
         let log = file(&base, "log", "");
         Rc::new(ReplicaProcess {
             state: state.clone(),
-            number,
+            index,
             replica_count,
             base,
             faults,
@@ -74,8 +74,8 @@
     }
 
     /// Index of the replica in the run, starting at 0.
-    pub(crate) fn number(&self) -> usize {
-        self.number
+    pub(crate) fn index(&self) -> usize {
+        self.index
     }
 
     /// Address and port to which clients connect.
@@ -148,7 +148,7 @@
         let listed = record.endpoints.values().map(|versioned| &versioned.endpoint);
         let unavailable = listed.filter(|endpoint| endpoint.lifecycle != Lifecycle::Ready);
         let unavailable_since = unavailable.map(|endpoint| (endpoint.id.clone(), Instant::now())).collect();
-        record.unavailable_since.insert(self.number, unavailable_since);
+        record.unavailable_since.insert(self.index, unavailable_since);
     }
 
     /// Starts the process, and the discovery stub if there is none.
@@ -171,7 +171,7 @@
     }
 
     async fn start_discovery(&self) {
-        let stub = DiscoveryStub::start(&self.state, self.number, &self.discovery_address()).await;
+        let stub = DiscoveryStub::start(&self.state, self.index, &self.discovery_address()).await;
         *self.discovery.borrow_mut() = Some(stub);
     }
 
@@ -182,7 +182,7 @@
             assert!(
                 started.elapsed() < READY_TIMEOUT,
                 "replica {} not ready within the timeout; its log: {}",
-                self.number,
+                self.index,
                 self.log_text()
             );
             sleep(READY_POLL_INTERVAL).await;
@@ -206,7 +206,7 @@
         assert!(
             status.expect("failed to run kill").success(),
             "replica {} exited unexpectedly; its log: {}",
-            self.number,
+            self.index,
             self.log_text()
         );
     }
@@ -230,7 +230,7 @@
                 assert!(
                     status.success(),
                     "replica {} terminated with {status}; its log: {}",
-                    self.number,
+                    self.index,
                     self.log_text()
                 );
                 break;
@@ -284,7 +284,7 @@
         let text = self.configuration_text();
         file(&self.base, "config.json", &text[..text.len() / 2]);
         self.signal("HUP");
-        sleep(self.state.draw_milliseconds(0..300)).await;
+        sleep(self.state.draw_duration_ms(0..300)).await;
         file(&self.base, "config.json", &text);
         if let Some(old_discovery) = old_discovery {
             old_discovery.close().await;
--- a/tests/soak/run_state.rs
+++ b/tests/soak/run_state.rs
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
     /// Index of the replica that the client is connected to.
-    pub(crate) replica: usize,
+    pub(crate) replica_index: usize,
     pub(crate) idempotency: Idempotency,
     pub(crate) first_on_connection: bool,
     /// When the client finished writing the request.
@@ -164,7 +164,7 @@
     pub(crate) faults: BTreeMap<&'static str, usize>,
     /// Number of violations of each kind that clients and the test itself detected during the run.
     pub(crate) violations: BTreeMap<&'static str, usize>,
-    random: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
 /// Shared handle to the state of a run.
@@ -178,17 +178,17 @@
 impl RunState {
     /// Creates the state of a new run, with a random number generator that is seeded with `seed`.
     pub(crate) fn new(seed: u64) -> Self {
-        let record = RunRecord { random: fastrand::Rng::with_seed(seed), ..RunRecord::default() };
+        let record = RunRecord { rng: fastrand::Rng::with_seed(seed), ..RunRecord::default() };
         RunState { record: Rc::new(RefCell::new(record)), list_changed: watch::Sender::new(0) }
     }
 
     /// Draws a random number from a range.
     pub(crate) fn draw(&self, range: Range<u64>) -> u64 {
-        self.record.borrow_mut().random.u64(range)
+        self.record.borrow_mut().rng.u64(range)
     }
 
     /// Draws a random duration from a range of milliseconds.
-    pub(crate) fn draw_milliseconds(&self, range: Range<u64>) -> Duration {
+    pub(crate) fn draw_duration_ms(&self, range: Range<u64>) -> Duration {
         Duration::from_millis(self.draw(range))
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Returns true with a probability of `per_thousand` in 1,000.
-    pub(crate) fn chance(&self, per_thousand: u64) -> bool {
+    pub(crate) fn chance_per_thousand(&self, per_thousand: u64) -> bool {
         self.draw(0..1_000) < per_thousand
     }
 
--- a/tests/soak/verifier.rs
+++ b/tests/soak/verifier.rs
@@ -11,30 +11,30 @@
 };
 
 /// Time after a client's disconnect within which attempts of its request may still arrive.
-const MAX_ATTEMPT_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
+const MAX_ATTEMPT_DELAY_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
 /// By how much the forwarded timeout may exceed the client's remaining time when the attempt arrives.
 const MAX_TIMEOUT_EXCESS: Duration = Duration::from_millis(150);
 /// Time after a replica has learned that an endpoint is draining within which attempts may still arrive
 /// there: the configured `drainGrace` of 500 ms, plus 50 ms of transmission time.
-const MAX_ATTEMPT_AFTER_DRAIN: Duration = Duration::from_millis(550);
+const MAX_ATTEMPT_DELAY_AFTER_DRAIN: Duration = Duration::from_millis(550);
 /// Time for which state may be reserved at a prefill endpoint with no attempt in flight: the configured
 /// `pinLimit` of 1 s, plus the 0.3 s that the operators allow for socket delays.
 const MAX_RESERVATION: Duration = Duration::from_millis(1_300);
 /// Time after the client's timeout within which a rejection or an error response may still arrive.
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 /// Assumed duration of a reservation whose release is not on record; exceeds any allowed duration.
-const UNENDED_RESERVATION: Duration = Duration::from_secs(60);
+const UNRELEASED_RESERVATION_DURATION: Duration = Duration::from_secs(60);
 
 /// Beginning of the message that a replica logs for each accepted request; the request id follows.
-const ACCEPTED_LOG: &str = "request accepted request_id=";
+const ACCEPTED_LOG_PREFIX: &str = "request accepted request_id=";
 /// Marks a log line of a replica that reports a violation.
-const VIOLATION_LOG: &str = "violation: ";
+const VIOLATION_LOG_MARKER: &str = "violation: ";
 /// Marks a log line of a replica that reports a panic.
-const PANIC_LOG: &str = "panicked";
+const PANIC_LOG_MARKER: &str = "panicked";
 
 /// The id and the record of a request.
 #[derive(Clone, Copy)]
-struct VerifiedRequest<'a> {
+struct RequestEntry<'a> {
     id: &'a str,
     record: &'a RequestRecord,
 }
@@ -53,10 +53,10 @@
     let accepted = logs.lines().filter_map(accepted_request_id).collect();
     let mut verifier = Verifier { record, accepted, tolerance, violations: Vec::new() };
     for (id, request_record) in &record.requests {
-        let request = VerifiedRequest { id, record: request_record };
+        let request = RequestEntry { id, record: request_record };
         verifier.check_response(request);
         verifier.check_attempts(request);
-        verifier.check_repeats(request);
+        verifier.check_repeated_execution(request);
         verifier.check_reservations(request);
     }
     verifier.check_logs(logs);
@@ -66,12 +66,12 @@
 
 /// Returns the request id if a log line reports an accepted request.
 fn accepted_request_id(line: &str) -> Option<&str> {
-    let (_, fields) = line.split_once(ACCEPTED_LOG)?;
+    let (_, fields) = line.split_once(ACCEPTED_LOG_PREFIX)?;
     let (id, _) = fields.split_once(' ')?;
     Some(id)
 }
 
-impl VerifiedRequest<'_> {
+impl RequestEntry<'_> {
     /// When the request timeout of the client expires.
     fn deadline(&self, sent_at: Instant) -> Instant {
         sent_at + Duration::from_millis(self.record.timeout_ms)
@@ -96,7 +96,7 @@
         format!(
             "{} at replica {}, timeout {} ms, {:?}; response {response}; attempts [{}]",
             self.id,
-            self.record.replica,
+            self.record.replica_index,
             self.record.timeout_ms,
             self.record.idempotency,
             attempts.join(", ")
@@ -114,13 +114,13 @@
 }
 
 impl Verifier<'_> {
-    fn report(&mut self, invariant: Invariant, request: VerifiedRequest<'_>, detail: &str) {
+    fn report(&mut self, invariant: Invariant, request: RequestEntry<'_>, detail: &str) {
         let message = format!("{invariant}: {detail}: {}", request.describe());
         self.violations.push(Violation { request_id: Some(request.id.to_owned()), message });
     }
 
     /// Checks that the request got a response, and a rejection or an error response in time.
-    fn check_response(&mut self, request: VerifiedRequest<'_>) {
+    fn check_response(&mut self, request: RequestEntry<'_>) {
         let (Some(sent_at), Some(response)) = (request.record.sent_at, request.record.response) else {
             return;
         };
@@ -132,10 +132,10 @@
             ResponseOutcome::TimedOut => {
                 self.report(Invariant::Answered, request, "client stopped waiting");
             }
-            ResponseOutcome::ConnectionClosed if self.is_owed_response(request) => {
+            ResponseOutcome::ConnectionClosed if self.requires_response(request) => {
                 let first = request.record.first_on_connection;
                 let detail = format!("connection closed without a response, first request on it: {first}");
-                self.report(Invariant::NotLost, request, &detail);
+                self.report(Invariant::RequestNotLost, request, &detail);
             }
             ResponseOutcome::Rejected | ResponseOutcome::Failed if response.at > latest => {
                 self.report(Invariant::AnsweredInTime, request, "after the client's timeout");
@@ -148,13 +148,13 @@
     /// its connection may arrive while the replica closes an idle connection, and is then never read; the
     /// client may send it again on another connection. A request that the replica has accepted always gets a
     /// response.
-    fn is_owed_response(&self, request: VerifiedRequest<'_>) -> bool {
+    fn requires_response(&self, request: RequestEntry<'_>) -> bool {
         request.record.first_on_connection || self.accepted.contains(request.id)
     }
 
     /// Checks that attempts are sent only while the client is connected, only to available endpoints, with at
     /// most the remaining time, and one at a time.
-    fn check_attempts(&mut self, request: VerifiedRequest<'_>) {
+    fn check_attempts(&mut self, request: RequestEntry<'_>) {
         let Some(sent_at) = request.record.sent_at else { return };
         let deadline = request.deadline(sent_at);
         for (index, attempt) in request.record.attempts.iter().enumerate() {
@@ -178,19 +178,19 @@
         }
     }
 
-    fn is_after_disconnect(&self, request: VerifiedRequest<'_>, attempt: &Attempt) -> bool {
+    fn is_after_disconnect(&self, request: RequestEntry<'_>, attempt: &Attempt) -> bool {
         let Some(disconnected_at) = request.record.client_disconnected_at else { return false };
         let delay = attempt.arrived_at.saturating_duration_since(disconnected_at);
-        delay > MAX_ATTEMPT_AFTER_DISCONNECT + self.tolerance
+        delay > MAX_ATTEMPT_DELAY_AFTER_DISCONNECT + self.tolerance
     }
 
-    fn is_after_drain(&self, request: VerifiedRequest<'_>, attempt: &Attempt) -> bool {
-        let unavailable = self.record.unavailable_since.get(&request.record.replica);
+    fn is_after_drain(&self, request: RequestEntry<'_>, attempt: &Attempt) -> bool {
+        let unavailable = self.record.unavailable_since.get(&request.record.replica_index);
         let Some(since) = unavailable.and_then(|endpoints| endpoints.get(&attempt.endpoint)) else {
             return false;
         };
         let delay = attempt.arrived_at.saturating_duration_since(*since);
-        delay > MAX_ATTEMPT_AFTER_DRAIN + self.tolerance
+        delay > MAX_ATTEMPT_DELAY_AFTER_DRAIN + self.tolerance
     }
 
     /// Whether an attempt was still in flight when a later one arrived.
@@ -200,7 +200,7 @@
 
     /// Checks that a non-idempotent request that may have been executed is neither sent again nor rejected as
     /// safe to retry.
-    fn check_repeats(&mut self, request: VerifiedRequest<'_>) {
+    fn check_repeated_execution(&mut self, request: RequestEntry<'_>) {
         if request.record.idempotency == Idempotency::Idempotent {
             return;
         }
@@ -208,7 +208,7 @@
         let Some(first) = attempts.iter().position(may_have_been_executed) else { return };
         let detail = format!("by attempt {first}");
         if first + 1 < attempts.len() {
-            self.report(Invariant::NotRepeated, request, &detail);
+            self.report(Invariant::NotRepeatedAfterExecution, request, &detail);
         }
         let response = request.record.response;
         if response.is_some_and(|response| response.outcome == ResponseOutcome::Rejected) {
@@ -218,7 +218,7 @@
 
     /// Checks that reserved state is used by an attempt or released in time. Time with an attempt in flight
     /// does not count.
-    fn check_reservations(&mut self, request: VerifiedRequest<'_>) {
+    fn check_reservations(&mut self, request: RequestEntry<'_>) {
         if request.record.replica_terminated {
             return;
         }
@@ -236,15 +236,15 @@
         }
     }
 
-    fn check_unused_reservation(&mut self, request: VerifiedRequest<'_>, prefilled_at: Instant) {
+    fn check_unused_reservation(&mut self, request: RequestEntry<'_>, prefilled_at: Instant) {
         let released_at = first_release(request.record, prefilled_at);
-        let end = released_at.unwrap_or(prefilled_at + UNENDED_RESERVATION);
+        let end = released_at.unwrap_or(prefilled_at + UNRELEASED_RESERVATION_DURATION);
         self.check_reserved_between(request, prefilled_at, end);
     }
 
     /// Checks each interval between attempts, up to the attempt that uses the state or prefills it again.
     fn check_used_reservation(
-        &mut self, request: VerifiedRequest<'_>, prefilled_at: Instant, later_attempts: &[Attempt],
+        &mut self, request: RequestEntry<'_>, prefilled_at: Instant, later_attempts: &[Attempt],
     ) {
         let mut since = prefilled_at;
         for attempt in later_attempts {
@@ -258,7 +258,7 @@
     }
 
     /// Checks an interval in which state is reserved and no attempt is in flight.
-    fn check_reserved_between(&mut self, request: VerifiedRequest<'_>, since: Instant, until: Instant) {
+    fn check_reserved_between(&mut self, request: RequestEntry<'_>, since: Instant, until: Instant) {
         let longest = MAX_RESERVATION + self.tolerance;
         let first_release = first_release(request.record, since);
         let is_released = first_release.is_some_and(|released_at| released_at <= until);
@@ -278,7 +278,7 @@
     /// Checks that no replica logged a violation or a panic.
     fn check_logs(&mut self, logs: &str) {
         for line in logs.lines() {
-            if line.contains(VIOLATION_LOG) || line.contains(PANIC_LOG) {
+            if line.contains(VIOLATION_LOG_MARKER) || line.contains(PANIC_LOG_MARKER) {
                 self.violations.push(Violation { request_id: None, message: format!("log: {line}") });
             }
         }
