--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,5 +1,5 @@
-//! Lets a simulator drive the scheduler: reads batches of events from standard input, one a line, and writes
-//! one line of commands for each to standard output.
+//! Connects a simulator to the scheduler: reads one batch of events per line from standard input, and writes
+//! the resulting commands as one line to standard output.
 #![warn(clippy::expect_used, clippy::unwrap_used)]
 
 use std::io::{self, BufRead, BufWriter, Write};
@@ -7,18 +7,18 @@
 
 use inference_router::simulator::{Adapter, BatchError};
 
-/// Why the adapter stopped before the end of its input. Lines count from 1.
+/// The error that ended the adapter before the end of its input. Line numbers start at 1.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    #[error("line {line}: cannot read: {source}")]
+    #[error("line {line}: failed to read standard input: {source}")]
     Read { line: u64, source: io::Error },
     #[error("line {line}: {source}")]
     Batch { line: u64, source: BatchError },
-    #[error("line {line}: cannot write: {source}")]
+    #[error("line {line}: failed to write standard output: {source}")]
     Write { line: u64, source: io::Error },
 }
 
-/// Answers each line of `input` with one of `output`, until the input ends.
+/// Processes `input` line by line until it ends, and writes one line of `output` for each.
 fn answer_lines(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut batch = Vec::new();
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// Writes one line, to the end: the simulator waits for it before it goes on.
+/// Writes one line and flushes it, because the simulator blocks until it has the reply.
 fn write_line(output: &mut impl Write, text: &str) -> io::Result<()> {
     writeln!(output, "{text}")?;
     output.flush()
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,4 +1,4 @@
-//! The simulated replicas: a scheduler for each, and the events of a batch handed to the right one.
+//! Maps replica IDs to schedulers and dispatches the events of a batch to them.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +9,27 @@
 use crate::config::settings::{NamedSettings, SettingNames, settings_from_options};
 use crate::scheduler::{Action, Event, Micros, Scheduler};
 
-/// One simulated replica, from its launch to its destruction.
+/// A simulated replica, which exists from its launch event to its destroy event.
 struct Replica {
     scheduler: Scheduler,
     names: SettingNames,
 }
 
-/// Runs all simulated replicas of one process: a scheduler for each, with nothing shared among them.
+/// Runs the simulated replicas of one process. Each has its own scheduler; they share no state.
 #[derive(Default)]
 pub struct Adapter {
-    /// By the wire's `dispatcherId`.
+    /// Keyed by `dispatcherId`.
     replicas: BTreeMap<u64, Replica>,
 }
 
 impl Adapter {
-    /// Plays one batch, a line of JSON, and returns the line that answers it. Replicas without actions are
-    /// left out of the answer.
+    /// Processes one batch, a line of JSON, and returns the line of JSON to reply with. The reply omits
+    /// replicas that have no actions.
     ///
     /// # Errors
     ///
-    /// When the line is not a batch or one of its events is malformed. Events before the malformed one may
-    /// have been played.
+    /// Returns an error if the line is not a valid batch or one of its events is invalid. Events before the
+    /// invalid one may have been processed already.
     pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, BatchError> {
         let batch: Batch = serde_json::from_slice(line)?;
         let now = micros_from_millis(batch.now_ms);
@@ -45,7 +45,7 @@
         Ok(serde_json::to_string(&reply)?)
     }
 
-    /// Plays one replica's events as one round of its scheduler.
+    /// Processes the events of one replica as one round of its scheduler.
     fn play_inbox(&mut self, now: Micros, inbox: Inbox) -> Result<Vec<Action>, BatchError> {
         let replica_id = inbox.replica;
         let mut events = Vec::new();
@@ -63,8 +63,8 @@
         Ok(actions)
     }
 
-    /// Launches or destroys the replica, or adds the message's event to the `events` of the replica's round.
-    /// Events from before a launch or a destruction are dropped: they were for the replica's former life.
+    /// Launches or destroys the replica, or appends the message's event to the `events` of its round. A
+    /// launch and a destruction discard the events before them, which were for the previous scheduler.
     fn accept(
         &mut self, replica_id: u64, message: WireEvent, events: &mut Vec<Event>,
     ) -> Result<(), EventError> {
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,57 +1,57 @@
-//! What can be wrong with the simulator's input.
+//! Errors in the simulator's input.
 
 use serde_json::Value;
 
 use crate::config::settings::{SettingsError, UnknownName};
 
-/// Why one event of a batch cannot be translated.
+/// An error in one event of a batch.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
-    /// It is for a replica that has not been launched.
-    #[error("not launched")]
+    /// The event is for a replica that has not been launched.
+    #[error("replica has not been launched")]
     NotLaunched,
-    /// It launches a replica with settings that cannot be used.
+    /// The settings in a launch event are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// It names something that the replica's settings do not list.
+    /// The event refers to a name that is not in the replica's settings.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// A key of a cache is neither a text nor absent.
-    #[error("{key}: expected a text, found {found}")]
+    /// The session or the prompt prefix is neither a string nor absent.
+    #[error("{key}: expected a string or 0, found {found}")]
     NotText {
-        /// The key on the wire.
+        /// The JSON key.
         key: &'static str,
-        /// Its value.
+        /// The value of that key.
         found: Value,
     },
-    /// The tenant is neither a name nor absent.
-    #[error("clientGroup: expected a name, found {found}")]
+    /// The tenant is neither a string nor absent.
+    #[error("clientGroup: expected a string or 0, found {found}")]
     NotTenantName {
-        /// The value in its place.
+        /// The value of `clientGroup`.
         found: Value,
     },
-    /// The result of a reservation is neither success nor failure.
-    #[error("holdResult: unknown kind {result}")]
+    /// The result of a reservation has an unknown code.
+    #[error("holdResult: expected kind 1 or 2, found {result}")]
     UnknownReservationResult {
-        /// The result's number on the wire.
+        /// The code in the message.
         result: i64,
     },
 }
 
-/// Why a batch could not be played.
+/// An error in processing a batch.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// The line is not a batch, or the reply could not be written as JSON.
+    /// The line is not a valid batch, or the reply could not be serialized.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// One of its events is at fault.
+    /// One of the events is invalid.
     #[error("dispatcher {replica}: event {index}: {source}")]
     Event {
         /// The replica that the event is for.
         replica: u64,
-        /// The event's place among those of this replica in this batch, from 0.
+        /// The index of the event among those of this replica in the batch, starting at 0.
         index: usize,
-        /// What is wrong with it.
+        /// The cause.
         source: EventError,
     },
 }
--- a/src/simulator/messages.rs
+++ b/src/simulator/messages.rs
@@ -1,9 +1,9 @@
-//! The wire's messages, as the simulator writes and reads them.
+//! The JSON messages that are exchanged with the simulator.
 //!
-//! Fields carry the router's terms, with the wire's key beside each; times are in milliseconds where the name
-//! ends in `_ms`. The structs and events that are read carry the wire's own words, as serde puts their names
-//! into the texts of its errors. Each says what it means to the scheduler. Keys that no field names are
-//! passed over.
+//! Fields use the router's terms, with their JSON keys in serde attributes. Fields whose names end in `_ms`
+//! are times in milliseconds. Types and events that are deserialized keep the simulator's names, because
+//! serde includes them in its error messages; the comment on each event names its counterpart in the
+//! scheduler. Unknown keys are ignored.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 use crate::config::settings::object::Options;
 use crate::scheduler::Lifecycle;
 
-/// One line of input: what happened at one moment to some of the replicas.
+/// One line of input: the events of one point in time, grouped by replica.
 #[derive(Deserialize)]
 pub(super) struct Batch {
     #[serde(rename = "atTime")]
@@ -22,7 +22,7 @@
     pub(super) inboxes: Vec<Inbox>,
 }
 
-/// One replica's events of a batch, in their order.
+/// The events of one replica in a batch, in the order in which they happened.
 #[derive(Deserialize)]
 pub(super) struct Inbox {
     #[serde(rename = "dispatcherId")]
@@ -30,19 +30,19 @@
     pub(super) events: Vec<WireEvent>,
 }
 
-/// What happened to a replica.
+/// An event at a replica.
 #[derive(Deserialize)]
 #[serde(tag = "t", rename_all = "camelCase")]
 pub(super) enum WireEvent {
-    /// The replica starts, with nothing known from an earlier life.
+    /// The replica starts with an empty state.
     Launch {
-        /// The seed of the scheduler's hashes.
+        /// Seed of the scheduler's random draws.
         salt: u64,
         options: Box<Options>,
     },
-    /// The replica ends.
+    /// The replica stops.
     Destroy {},
-    /// `EndpointsChanged` or `WatchFailed`.
+    /// `EndpointsChanged`, or `WatchFailed` for [`UpdateForm::WatchFailed`].
     Update {
         form: UpdateForm,
         #[serde(default)]
@@ -67,7 +67,7 @@
         request: u64,
         #[serde(rename = "host")]
         endpoint: u32,
-        /// 1 for reserved, 2 for not reserved.
+        /// 1 if the slot was reserved, 2 if not.
         #[serde(rename = "kind")]
         result: i64,
     },
@@ -81,7 +81,7 @@
         endpoint: u32,
         #[serde(rename = "terminal", default)]
         is_final: bool,
-        /// Prompt tokens found in the endpoint's cache; for a rejection, why it rejected.
+        /// Prompt tokens found in the endpoint's cache; for a rejection, a code for the reason.
         #[serde(default)]
         info: f64,
         #[serde(rename = "stateCode")]
@@ -110,7 +110,7 @@
         #[serde(rename = "healthInfo")]
         load_report: Option<WireLoadReport>,
     },
-    /// Data from another replica. No decision uses it, but it must be well-formed.
+    /// Data from another replica. The scheduler does not use it, but the message must be well-formed.
     PeerData {
         #[serde(rename = "neighbour")]
         _neighbour: u64,
@@ -126,26 +126,26 @@
     pub(super) request: u64,
     #[serde(rename = "nPrompt")]
     pub(super) prompt_tokens: f64,
-    /// An estimate of its stream time; 0 for none.
+    /// Estimated duration of the response stream; 0 if unknown.
     #[serde(rename = "sizeHint")]
     pub(super) stream_duration_hint_ms: Option<f64>,
-    /// Time until the client gives up this try.
+    /// Time until the client's own timeout.
     #[serde(rename = "remaining")]
     pub(super) client_timeout_ms: f64,
-    /// The class's name.
+    /// Name of the class.
     #[serde(rename = "priority")]
     pub(super) class: String,
     #[serde(rename = "prefixTokens", default)]
     pub(super) prefix_tokens: f64,
-    /// The prompt prefix that it shares with other sessions: a text, or 0 for none.
+    /// Identifies the prompt prefix that is shared with other sessions: a string, or 0 if there is none.
     #[serde(rename = "template")]
     pub(super) prefix: Option<Value>,
-    /// The tenant's name, or 0 for none.
+    /// Name of the tenant, or 0 if there is none.
     #[serde(rename = "clientGroup")]
     pub(super) tenant: Option<Value>,
     #[serde(rename = "outputCap")]
     pub(super) max_output_tokens: f64,
-    /// A text, or 0 for none.
+    /// Identifies the session: a string, or 0 if there is none.
     #[serde(rename = "talk")]
     pub(super) session: Option<Value>,
     #[serde(rename = "againByClient", default)]
@@ -154,7 +154,7 @@
     pub(super) is_resumption: bool,
 }
 
-/// What an update of the endpoint list contains.
+/// Which entries an update of the endpoint list contains.
 #[derive(Deserialize)]
 pub(super) enum UpdateForm {
     /// The entries that changed.
@@ -163,22 +163,22 @@
     /// All entries.
     #[serde(rename = "Complete")]
     Snapshot,
-    /// All entries as they were last stored, perhaps long ago.
+    /// All entries as they were last stored, which may be out of date.
     #[serde(rename = "Persisted")]
     StoredSnapshot,
-    /// None: the watch could not be opened or has ended.
+    /// No entries: the watch could not be opened or has ended.
     #[serde(rename = "Error")]
     WatchFailed,
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check.
 #[derive(Deserialize)]
 pub(super) enum WireOutcome {
     #[serde(rename = "done")]
     Completed,
     #[serde(rename = "err")]
     Error,
-    /// Rejected; the message's `info` says whether for want of a KV cache.
+    /// Rejected; the message's `info` tells whether the reason is a missing KV cache.
     #[serde(rename = "busy")]
     Rejected,
     #[serde(rename = "etimedout")]
@@ -195,19 +195,19 @@
     Prefilled,
 }
 
-/// An endpoint's load report: a number for each of its keys, which `translate` names.
+/// An endpoint's load report: a value for each key. `translate` defines the keys.
 pub(super) type WireLoadReport = BTreeMap<String, f64>;
 
 /// An entry of the endpoint list.
 #[derive(Deserialize)]
 pub(super) struct Element {
-    /// The zone's name.
+    /// Name of the zone.
     #[serde(rename = "dc")]
     pub(super) zone: String,
-    /// The kind's name.
+    /// Name of the kind of endpoint.
     #[serde(rename = "sku")]
     pub(super) kind: String,
-    /// When the endpoint last started; 0 for long ago.
+    /// Time of the endpoint's last start; 0 if it was long ago.
     #[serde(rename = "lastStart")]
     pub(super) started_at_ms: Option<f64>,
     #[serde(rename = "pod", default)]
@@ -218,7 +218,7 @@
     pub(super) endpoint: u32,
 }
 
-/// Whether an endpoint may be sent new work.
+/// Whether an endpoint accepts new requests.
 #[derive(Deserialize, Clone, Copy)]
 pub(super) enum WireLifecycle {
     #[serde(rename = "SERVING")]
@@ -246,7 +246,7 @@
     pub(super) outboxes: Vec<Outbox>,
 }
 
-/// One replica's commands, in the order of its scheduler's actions.
+/// The commands of one replica, in the order of its scheduler's actions.
 #[derive(Serialize)]
 pub(super) struct Outbox {
     #[serde(rename = "dispatcherId")]
@@ -255,7 +255,7 @@
     pub(super) commands: Vec<Command>,
 }
 
-/// What a replica wants done; each is the scheduler's action of the same name.
+/// A command of a replica; each variant corresponds to the scheduler's action of the same name.
 #[derive(Serialize)]
 #[serde(tag = "t")]
 pub(super) enum Command {
@@ -318,7 +318,7 @@
     FetchEndpoints {},
     #[serde(rename = "observe")]
     WatchEndpoints {
-        /// Always true: the scheduler never ends its watch.
+        /// Always true, because the scheduler never stops watching.
         want: bool,
     },
     #[serde(rename = "wakeMe")]
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,9 +1,10 @@
-//! Lets a simulator drive the scheduler: batches of events come in as JSON lines, and each is answered by a
-//! line with the scheduler's actions. Decides nothing.
+//! An adapter that lets a simulator drive the scheduler. Each batch of events is a line of JSON, and the
+//! reply is a line of JSON with the scheduler's actions. The adapter makes no decisions of its own.
 //!
-//! `messages` holds the wire's types, `translate` turns them into the scheduler's events and its actions into
-//! commands, and `adapter` keeps a scheduler for each simulated replica. The settings object of the first
-//! message is also what a replica's configuration file holds, so [`crate::config::settings`] reads it.
+//! `messages` defines the JSON messages, `translate` converts them to the scheduler's events and its actions
+//! to commands, and `adapter` keeps one scheduler per simulated replica. The settings object in the first
+//! message has the same format as in a replica's configuration file, so [`crate::config::settings`] parses
+//! both.
 
 mod adapter;
 mod error;
--- a/src/simulator/translate.rs
+++ b/src/simulator/translate.rs
@@ -1,4 +1,4 @@
-//! Turns the wire's events into the scheduler's, and the scheduler's actions into the wire's commands.
+//! Converts the simulator's messages to the scheduler's events, and the scheduler's actions to commands.
 
 use serde_json::Value;
 use xxhash_rust::xxh3::xxh3_64;
@@ -12,11 +12,11 @@
     RequestSpec, TenantId,
 };
 
-/// The `info` by which a decode endpoint that rejects a request says that there is no KV cache to fetch.
+/// The value of `info` with which a decode endpoint rejects a request because there is no KV cache to fetch.
 const STATE_MISSING_INFO: f64 = 1.0;
 
-/// The scheduler's event for a message. None for messages that are not the scheduler's: launches and
-/// destructions, which the adapter carries out, and what other replicas send, which no decision uses.
+/// Converts a message to the scheduler's event. Returns `None` for launches and destructions, which the
+/// adapter performs itself, and for data from other replicas, which the scheduler does not use.
 pub(super) fn event_from_wire(message: WireEvent, names: &SettingNames) -> Result<Option<Event>, EventError> {
     let event = match message {
         WireEvent::Launch { .. } | WireEvent::Destroy {} | WireEvent::PeerData { .. } => return Ok(None),
@@ -98,7 +98,7 @@
     })
 }
 
-/// The request's tenant; absent, `null` and 0 stand for none.
+/// Looks up the request's tenant. No tenant is encoded as an absent key, `null` or 0.
 fn tenant_id(value: Option<&Value>, names: &SettingNames) -> Result<Option<TenantId>, EventError> {
     match value {
         None | Some(Value::Null) => Ok(None),
@@ -108,7 +108,7 @@
     }
 }
 
-/// The hash of a session or a prefix; absent, `null`, 0 and the empty text stand for none.
+/// Hashes a session or a prefix. No value is encoded as an absent key, `null`, 0 or an empty string.
 fn cache_key(value: Option<&Value>, key: &'static str) -> Result<Option<CacheKey>, EventError> {
     match value {
         None | Some(Value::Null) => Ok(None),
@@ -142,7 +142,7 @@
     }
 }
 
-/// The values of a load report that the scheduler uses; others are passed over.
+/// Extracts the values that the scheduler uses from a load report and ignores the others.
 fn load_report_from_wire(values: &WireLoadReport) -> LoadReport {
     let value = |key: &str| values.get(key).copied();
     LoadReport {
@@ -155,10 +155,10 @@
     }
 }
 
-/// The wire's command for an action.
+/// Converts an action to the simulator's command.
 pub(super) fn command_from_action(action: Action) -> Command {
     match action {
-        // How soon the attempt must begin is for the network code: the simulator begins it at once.
+        // `start_within` matters only to the network code: the simulator starts each attempt at once.
         Action::Send { request, endpoint, timeout, start_within: _ } => Command::Send {
             request: request.0,
             endpoint: endpoint.0,
@@ -183,11 +183,11 @@
     }
 }
 
-/// The wire's text for one action.
+/// Serializes one action as the JSON of its command.
 ///
 /// # Errors
 ///
-/// When the action cannot be written as JSON.
+/// Returns an error if the command cannot be serialized.
 pub fn action_text(action: Action) -> Result<String, serde_json::Error> {
     serde_json::to_string(&command_from_action(action))
 }
--- a/tests/common/config_files.rs
+++ b/tests/common/config_files.rs
@@ -1,12 +1,12 @@
-//! Configuration files and loopback addresses, private to one test.
+//! Configuration files and loopback addresses for tests. Each test has its own, so that tests can run in parallel.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The port of discovery at each test's addresses.
+/// Port of discovery at a test's loopback address.
 const DISCOVERY_PORT: u32 = 8_500;
 
-/// A prefix of loopback addresses that no other test uses.
+/// Returns a loopback address that no other test uses. It is the `base` of the other functions.
 pub(crate) fn address() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let pid = std::process::id();
@@ -14,31 +14,30 @@
     format!("127.{}.{}.{number}", 16 + pid / 250 % 200, 1 + pid % 250)
 }
 
-/// The folder of a test's files.
+/// Returns the path of a test's directory.
 pub(crate) fn folder(base: &str) -> PathBuf {
     std::env::temp_dir().join(format!("inference-router-{base}"))
 }
 
-/// Writes a file for one test.
+/// Writes a file in the test's directory, and returns its path.
 pub(crate) fn file(base: &str, name: &str, text: &str) -> PathBuf {
     let folder = folder(base);
-    std::fs::create_dir_all(&folder).expect("a folder for the test");
+    std::fs::create_dir_all(&folder).expect("failed to create the test directory");
     let path = folder.join(name);
-    std::fs::write(&path, text).expect("a file for the test");
+    std::fs::write(&path, text).expect("failed to write the test file");
     path
 }
 
-/// A path as a command line argument.
 pub(crate) fn path_argument(path: &Path) -> &str {
-    path.to_str().expect("a plain path")
+    path.to_str().expect("path is not valid UTF-8")
 }
 
-/// The port of an endpoint or of another stub.
+/// Returns the port of the endpoint or stub with this name, derived from the name.
 pub(crate) fn port(name: &str) -> u32 {
     name.bytes().fold(9_000, |sum, byte| sum + u32::from(byte))
 }
 
-/// An endpoint's entry in the endpoint list; names that begin with `r` are prefill endpoints, others decode endpoints.
+/// Returns an entry of the endpoint list. Endpoints whose names start with `r` are prefill endpoints, others decode.
 pub(crate) fn endpoint_entry(base: &str, name: &str, state: &str) -> String {
     let kind = if name.starts_with('r') { "prefill" } else { "decode" };
     let address = format!("{base}:{}", port(name));
@@ -47,17 +46,17 @@
     )
 }
 
-/// One message of the endpoint list: a snapshot (`full`) or a delta.
+/// Returns a snapshot of the endpoint list if `full` is set, otherwise a delta.
 pub(crate) fn endpoint_list(version: u64, full: bool, entries: &[String]) -> String {
     format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, entries.join(","))
 }
 
-/// The platform's configuration of a router at these addresses.
+/// Writes the platform's configuration for a router at this address.
 pub(crate) fn platform_config(base: &str) -> PathBuf {
     platform_config_with_discovery(base, DISCOVERY_PORT)
 }
 
-/// The same with discovery at another port.
+/// As [`platform_config`], with discovery at the given port.
 pub(crate) fn platform_config_with_discovery(base: &str, discovery_port: u32) -> PathBuf {
     let settings = include_str!("../exchanges/settings.json");
     let text = format!(
@@ -67,23 +66,23 @@
     file(base, "config.json", &text)
 }
 
-/// The same with parts of its text replaced: pairs of an old text, which it must contain, and its successor.
+/// As [`platform_config`], with text replacements: pairs of an old text, which must occur, and a new one.
 pub(crate) fn configuration(base: &str, replacements: &[(&str, &str)]) -> PathBuf {
     let path = platform_config(base);
-    let mut text = std::fs::read_to_string(&path).expect("the file just written");
+    let mut text = std::fs::read_to_string(&path).expect("failed to read the configuration");
     for (old, new) in replacements {
-        assert!(text.contains(old), "no {old} in the settings");
+        assert!(text.contains(old), "{old} not found in the configuration");
         text = text.replace(old, new);
     }
     file(base, "config.json", &text)
 }
 
-/// The operator's file for the chat API of a router at these addresses, with these endpoints and more text at its end.
+/// Writes the operator's file for the chat API of a router at this address, with these endpoints and `more` appended.
 pub(crate) fn chat_config(base: &str, endpoints: &[&str], more: &str) -> PathBuf {
     let example =
         include_str!("../../deploy/chat.example.toml").replace("127.0.0.1:8090", &format!("{base}:8090"));
-    let (head, tail) = example.split_once("[[servers]]").expect("servers in the example");
-    let (_, tail) = tail.split_once("[[classes]]").expect("classes in the example");
+    let (head, tail) = example.split_once("[[servers]]").expect("no [[servers]] in the example");
+    let (_, tail) = tail.split_once("[[classes]]").expect("no [[classes]] in the example");
     let section =
         |name: &&str| format!("[[servers]]\nname = \"{name}\"\naddress = \"{base}:{}\"\n", port(name));
     let sections: String = endpoints.iter().map(section).collect();
--- a/tests/common/connection.rs
+++ b/tests/common/connection.rs
@@ -1,5 +1,5 @@
-//! One end of a connection that a test plays. Each step waits for bytes or for an end, so that a test orders what
-//! happens by what it has seen and never by time.
+//! The test's end of a connection. Each operation waits for bytes or for the end of the connection, so that tests
+//! order events by what they have received and not by time.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -7,65 +7,64 @@
 
 use super::router_process::PATIENCE;
 
-/// Between two checks of a state that cannot be waited for.
+/// Interval between checks of a state for which there is no notification.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Within which a closed socket answers; a program that reads on after its last answer does so for longer.
+/// Time within which a closed socket resets the connection. The router's lingering close reads for longer than this.
 const RESET_TIMEOUT: Duration = Duration::from_secs(1);
-/// Length of the unread bytes that a failure shows.
+/// Maximum number of unread bytes in a failure message.
 const MAX_SHOWN_BYTES: usize = 1_000;
 
-/// One end of a connection.
+/// A blocking connection with a buffer for bytes that have been received but not consumed.
 pub(crate) struct Connection {
     socket: TcpStream,
     unread: Vec<u8>,
 }
 
-/// A message that was read from a connection: a head, and a body if its length was given.
+/// An HTTP message that was read from a connection.
 #[derive(Debug)]
 pub(crate) struct Message {
-    /// The start line and the headers, with the empty line behind them.
+    /// The start line and the headers, including the empty line at the end.
     pub(crate) head: String,
-    /// The body; empty where there is none.
+    /// The body; empty if there is no `Content-Length`.
     pub(crate) body: String,
 }
 
 impl Message {
-    /// The value of a header, whose name is given in lower case.
+    /// Returns the value of a header. The name is matched without regard to case.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut fields = self.head.lines().filter_map(|line| line.split_once(": "));
         fields.find(|(field, _)| field.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 }
 
-/// A client's connection to the router at these addresses.
+/// Connects to the platform API of the router at this address.
 pub(crate) fn connect_client(base: &str) -> Connection {
     Connection::open(&format!("{base}:8081"))
 }
 
 impl Connection {
-    /// Takes over a socket that is open.
+    /// Wraps a connected socket.
     pub(crate) fn new(socket: TcpStream) -> Self {
-        socket.set_nodelay(true).expect("a socket that is open");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time above zero");
+        socket.set_nodelay(true).expect("failed to set TCP_NODELAY");
+        socket.set_read_timeout(Some(PATIENCE)).expect("failed to set the read timeout");
         Connection { socket, unread: Vec::new() }
     }
 
-    /// Connects to an address that listens.
+    /// Connects to an address.
     pub(crate) fn open(address: &str) -> Self {
-        Connection::new(TcpStream::connect(address).expect("it listens"))
+        Connection::new(TcpStream::connect(address).expect("failed to connect"))
     }
 
-    /// Writes all of the text.
     pub(crate) fn send(&mut self, text: &str) {
-        self.socket.write_all(text.as_bytes()).expect("the peer to read");
+        self.socket.write_all(text.as_bytes()).expect("failed to write");
     }
 
-    /// Writes a text though the peer may have closed the connection.
+    /// Writes a text and ignores errors, as the peer may have closed the connection.
     pub(crate) fn send_ignoring_close(&mut self, text: &str) {
         let _ = self.socket.write_all(text.as_bytes());
     }
 
-    /// Reads on; false at the end of the connection, also where it was reset.
+    /// Reads more bytes. Returns false at the end of the connection or after a reset.
     fn read_more(&mut self) -> bool {
         let mut buffer = [0; 16_384];
         match self.socket.read(&mut buffer) {
@@ -75,11 +74,13 @@
                 true
             }
             Err(error) if error.kind() == ErrorKind::ConnectionReset => false,
-            Err(error) => panic!("{error} after {:?}", String::from_utf8_lossy(&self.unread)),
+            Err(error) => {
+                panic!("failed to read: {error}; unread: {:?}", String::from_utf8_lossy(&self.unread))
+            }
         }
     }
 
-    /// Reads until the text has come, and takes all up to its end.
+    /// Reads until the text is received, and returns everything up to its end.
     pub(crate) fn read_until(&mut self, text: &str) -> String {
         let mut searched = 0;
         loop {
@@ -87,31 +88,37 @@
             let found = new.windows(text.len()).position(|window| window == text.as_bytes());
             if let Some(position) = found {
                 let taken = self.unread.drain(..searched + position + text.len()).collect();
-                return String::from_utf8(taken).expect("plain text");
+                return String::from_utf8(taken).expect("received bytes are not UTF-8");
             }
             searched = self.unread.len().saturating_sub(text.len());
-            assert!(self.read_more(), "no {text:?} before the end in {:?}", self.unread_preview());
+            assert!(
+                self.read_more(),
+                "connection ended before {text:?}; unread: {:?}",
+                self.unread_preview()
+            );
         }
     }
 
-    /// The first of the unread bytes, for messages.
+    /// Returns the start of the unread bytes for failure messages.
     fn unread_preview(&self) -> String {
         String::from_utf8_lossy(&self.unread[..self.unread.len().min(MAX_SHOWN_BYTES)]).into_owned()
     }
 
-    /// Reads one message: a head, and a body of the length that the head gives.
+    /// Reads one message: the head, and a body of the length in `Content-Length`.
     pub(crate) fn read_message(&mut self) -> Message {
         let head = self.read_until("\r\n\r\n");
         let mut message = Message { head, body: String::new() };
-        let length = message.header("content-length").map_or(0, |value| value.parse().expect("a length"));
+        let length = message
+            .header("content-length")
+            .map_or(0, |value| value.parse().expect("Content-Length is not a number"));
         while self.unread.len() < length {
-            assert!(self.read_more(), "the body of {:?} broke off", message.head);
+            assert!(self.read_more(), "connection ended within the body of {:?}", message.head);
         }
-        message.body = String::from_utf8(self.unread.drain(..length).collect()).expect("plain text");
+        message.body = String::from_utf8(self.unread.drain(..length).collect()).expect("body is not UTF-8");
         message
     }
 
-    /// Reads a message without a body, or none if the connection ends before it has come.
+    /// Reads one message, or returns `None` if the connection ends within its head.
     pub(crate) fn read_message_or_end(&mut self) -> Option<Message> {
         while !self.unread.windows(4).any(|window| window == b"\r\n\r\n") {
             if !self.read_more() {
@@ -121,24 +128,24 @@
         Some(self.read_message())
     }
 
-    /// All that comes until the peer ends the connection in good order.
+    /// Reads until the peer closes the connection. Panics if it is reset.
     pub(crate) fn read_to_end(&mut self) -> String {
         let mut buffer = [0; 16_384];
         loop {
-            match self.socket.read(&mut buffer).expect("an end in good order") {
+            match self.socket.read(&mut buffer).expect("connection was not closed cleanly") {
                 0 => return String::from_utf8_lossy(&std::mem::take(&mut self.unread)).into_owned(),
                 length => self.unread.extend_from_slice(&buffer[..length]),
             }
         }
     }
 
-    /// All that comes until the connection ends in any way.
+    /// Reads until the peer closes or resets the connection.
     pub(crate) fn read_to_end_or_reset(&mut self) -> String {
         while self.read_more() {}
         String::from_utf8_lossy(&std::mem::take(&mut self.unread)).into_owned()
     }
 
-    /// Whether the peer has closed its socket, so that what is written is answered by a reset. Gives up after a while.
+    /// Returns whether the peer has closed its socket, so that writes fail with a reset within [`RESET_TIMEOUT`].
     pub(crate) fn is_reset_on_write(&mut self) -> bool {
         let deadline = Instant::now() + RESET_TIMEOUT;
         while Instant::now() < deadline {
@@ -150,27 +157,27 @@
         false
     }
 
-    /// Bytes that the peer, on this machine, has not read, as the system counts them.
+    /// Returns the length of the peer's receive queue. The peer is on this machine.
     pub(crate) fn unread_by_peer(&self) -> usize {
-        let peer = table_address(self.socket.peer_addr().expect("a connection"));
-        let own = table_address(self.socket.local_addr().expect("a connection"));
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of sockets");
+        let peer = table_address(self.socket.peer_addr().expect("failed to get the peer address"));
+        let own = table_address(self.socket.local_addr().expect("failed to get the local address"));
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("failed to read /proc/net/tcp");
         let line = table.lines().find(|line| line.contains(&format!("{peer} {own}")));
         let queues = line.and_then(|line| line.split_whitespace().nth(4)).unwrap_or("0:0");
-        let (_, receive_queue) = queues.split_once(':').expect("two queues");
-        usize::from_str_radix(receive_queue, 16).expect("a number")
+        let (_, receive_queue) = queues.split_once(':').expect("unexpected format of /proc/net/tcp");
+        usize::from_str_radix(receive_queue, 16).expect("queue length is not hexadecimal")
     }
 
-    /// Closes both directions.
+    /// Shuts both directions down.
     pub(crate) fn close(self) {
         let _ = self.socket.shutdown(Shutdown::Both);
     }
 }
 
-/// An address as the system's table of sockets shows it.
+/// Formats an address as in `/proc/net/tcp`.
 fn table_address(address: SocketAddr) -> String {
     match address {
         SocketAddr::V4(v4) => format!("{:08X}:{:04X}", u32::from(*v4.ip()).swap_bytes(), v4.port()),
-        SocketAddr::V6(_) => panic!("all tests use IPv4 addresses"),
+        SocketAddr::V6(_) => panic!("IPv6 is not supported"),
     }
 }
--- a/tests/common/discovery_stub.rs
+++ b/tests/common/discovery_stub.rs
@@ -1,4 +1,4 @@
-//! Stubs of discovery: one that a test plays step by step, and one that answers by itself.
+//! Stubs of discovery: one that a test controls step by step, and one that answers in the background.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,12 +9,12 @@
 use super::connection::Connection;
 use super::stub_listener::StubListener;
 
-/// Between two empty lines on a watch while nothing changes.
+/// Interval between the empty lines on a watch without changes.
 const WATCH_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// The line that makes [`serve_endpoint_list`] end the watch.
+/// The text that makes [`serve_endpoint_list`] close the watch.
 const CLOSE_WATCH: &str = "close";
 
-/// Discovery, from which the router fetches a snapshot of the endpoint list and then watches its changes.
+/// A stub of discovery, which serves a snapshot of the endpoint list and then a watch on its changes.
 pub(crate) struct DiscoveryStub {
     listener: StubListener,
     version: u64,
@@ -22,31 +22,30 @@
 
 /// An open watch on the endpoint list.
 pub(crate) struct Watch {
-    /// The connection that carries it.
     pub(crate) connection: Connection,
-    /// The version from which on the router wants changes.
+    /// The version of the endpoint list that the router already has.
     pub(crate) since: String,
 }
 
 impl Watch {
-    /// Sends one chunk.
+    /// Sends one chunk of the response body.
     pub(crate) fn send(&mut self, text: &str) {
         self.connection.send(&format!("{:x}\r\n{text}\r\n", text.len()));
     }
 }
 
 impl DiscoveryStub {
-    /// Listens at the usual port of these addresses.
+    /// Listens at the default port of discovery.
     pub(crate) fn start(base: &str) -> Self {
         DiscoveryStub { listener: StubListener::bind(&format!("{base}:8500")), version: 1 }
     }
 
-    /// Listens at the port that belongs to this name.
+    /// Listens at the port for this name.
     pub(crate) fn start_at(base: &str, name: &str) -> Self {
         DiscoveryStub { listener: StubListener::endpoint(base, name), version: 1 }
     }
 
-    /// Answers the request for a snapshot of the endpoint list.
+    /// Accepts the request for a snapshot of the endpoint list and answers it.
     pub(crate) fn serve_snapshot(&mut self, entries: &[String]) {
         let mut connection = self.listener.accept();
         let received = connection.read_message();
@@ -59,13 +58,13 @@
     pub(crate) fn accept_watch(&mut self) -> Watch {
         let mut connection = self.listener.accept();
         let received = connection.read_message();
-        let path = received.head.split(' ').nth(1).expect("a path");
-        let since = path.strip_prefix("/api/targets?follow=1&since=").expect("a watch");
+        let path = received.head.split(' ').nth(1).expect("no path in the request line");
+        let since = path.strip_prefix("/api/targets?follow=1&since=").expect("not a request for a watch");
         let since = since.to_owned();
         Watch { connection, since }
     }
 
-    /// Answers the request for a watch, and reports that nothing has changed.
+    /// Accepts the request for a watch, and answers it with an empty line, which means no changes.
     pub(crate) fn open_watch(&mut self) -> Watch {
         let mut watch = self.accept_watch();
         watch.connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -74,9 +73,9 @@
     }
 }
 
-/// Serves a snapshot of the endpoint list, then a watch on which it sends the lines that come through the result.
+/// Serves a snapshot of the endpoint list and a watch in the background. Lines sent to the result go out on the watch.
 pub(crate) fn serve_endpoint_list(base: &str, entries: &[String]) -> Sender<String> {
-    let listener = TcpListener::bind(format!("{base}:8500")).expect("a free address");
+    let listener = TcpListener::bind(format!("{base}:8500")).expect("failed to bind");
     let (sender, changes) = channel::<String>();
     let snapshot = endpoint_list(1, true, entries);
     std::thread::spawn(move || {
@@ -89,7 +88,7 @@
 
 fn answer_discovery_request(mut socket: TcpStream, snapshot: &str, changes: &Receiver<String>) {
     let mut head = String::new();
-    let mut lines = BufReader::new(socket.try_clone().expect("a second handle"));
+    let mut lines = BufReader::new(socket.try_clone().expect("failed to clone the socket"));
     while lines.read_line(&mut head).is_ok_and(|length| length > 2) {}
     if !head.contains("follow=1") {
         let _ = write!(socket, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{snapshot}", snapshot.len());
--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -1,5 +1,5 @@
-//! Injects faults into the system calls of a program that a test starts. A change of the control file takes effect
-//! within some milliseconds.
+//! Fault injection into the system calls of a process that a test starts. A change of the control file takes effect
+//! within milliseconds.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -7,7 +7,7 @@
 
 use super::config_files::file;
 
-/// Interrupted system call; error numbers are those of Linux.
+/// Interrupted system call. All error numbers are those of Linux.
 pub(crate) const EINTR: i32 = 4;
 /// Too many open files in the system.
 pub(crate) const ENFILE: i32 = 23;
@@ -24,14 +24,14 @@
 /// No buffer space available.
 pub(crate) const ENOBUFS: i32 = 105;
 
-/// The faults of one program.
+/// The injected faults of one process.
 pub(crate) struct Faults {
     base: String,
     library: &'static Path,
     control_file: PathBuf,
 }
 
-/// The preloaded library that makes calls fail, built once for each test program.
+/// Returns the path of the preload library that injects the faults. It is built once per test binary.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -39,36 +39,39 @@
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/shim/faults.c");
         let mut compiler = Command::new("cc");
         compiler.args(["-shared", "-fPIC", "-O1", "-o"]).args([&path, &source]).arg("-ldl");
-        assert!(compiler.status().expect("a C compiler").success(), "the library of faults is built");
+        assert!(
+            compiler.status().expect("failed to run the C compiler").success(),
+            "failed to build the fault injection library"
+        );
         path
     })
 }
 
 impl Faults {
-    /// Faults for the program at these addresses; each is a line of the control file.
+    /// Prepares fault injection for the process at this address. Each fault is a line of the control file.
     pub(crate) fn new(base: &str, faults: &[String]) -> Self {
         let control_file = file(base, "faults", &faults.join("\n"));
         Faults { base: base.to_owned(), library: library(), control_file }
     }
 
-    /// The environment variables that the program has to be started with.
+    /// Returns the environment variables to start the process with.
     pub(crate) fn variables(&self) -> [(&str, &Path); 2] {
         [("LD_PRELOAD", self.library), ("FAULTS_FILE", &self.control_file)]
     }
 
-    /// Replaces the faults from now on.
+    /// Replaces all faults. The file is renamed into place, so that the process never reads a partial one.
     pub(crate) fn set(&self, faults: &[String]) {
         let next = file(&self.base, "faults.next", &faults.join("\n"));
-        std::fs::rename(next, &self.control_file).expect("a file of the test");
+        std::fs::rename(next, &self.control_file).expect("failed to replace the control file");
     }
 }
 
-/// Makes `percent` of a hundred of these calls fail with this error.
+/// A fault that makes this percentage of the calls fail with this error.
 pub(crate) fn failing(call: &str, error: i32, percent: u32) -> String {
     format!("{call} {error} {percent}")
 }
 
-/// Sets the wall clock off by so many seconds.
+/// A fault that shifts the wall clock by this many seconds.
 pub(crate) fn clock_off(seconds: i64) -> String {
     format!("clock 0 {seconds}")
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the integration tests share: stubs of endpoints and of discovery, the router as a child process, and a
-//! harness around the scheduler alone.
-#![allow(dead_code, reason = "each test program uses a part of these helpers")]
+//! Shared helpers of the integration tests: stubs of endpoints and of discovery, the router as a child process, and
+//! a harness for the scheduler alone.
+#![allow(dead_code, reason = "each test binary uses only some of these helpers")]
 
 pub(crate) mod config_files;
 pub(crate) mod connection;
--- a/tests/common/router_process.rs
+++ b/tests/common/router_process.rs
@@ -1,4 +1,4 @@
-//! The router as a child process, with files and loopback addresses of its own.
+//! The router as a child process with its own files and loopback address.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -9,19 +9,18 @@
 use super::config_files::{configuration, endpoint_entry, folder};
 use super::discovery_stub::{DiscoveryStub, Watch};
 
-/// Far above any wait that is meant: only a test that fails comes to its end.
+/// Limit on every wait in the tests, far longer than any expected wait: only a failing test reaches it.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 
-/// How the router is expected to exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExpectedExit {
-    /// With exit code 0.
+    /// Exit code 0.
     Success,
-    /// With an error.
+    /// Any other exit code, or a signal.
     Failure,
 }
 
-/// A running router, killed when it is dropped.
+/// A running router, which is killed on drop.
 pub(crate) struct RouterProcess {
     child: Child,
     log: Receiver<String>,
@@ -31,55 +30,60 @@
 }
 
 impl RouterProcess {
-    /// Starts the router with these arguments and environment variables; the test's folder is removed at its exit.
+    /// Starts the router with these arguments and environment variables. [`Self::wait_for_exit`] removes its files.
     pub(crate) fn start(base: &str, arguments: &[&str], variables: &[(&str, &Path)]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_inference-router"));
         command.args(arguments).env_remove("LB_CONFIG").envs(variables.iter().copied());
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
+        let mut child = command.stderr(Stdio::piped()).spawn().expect("failed to start the router");
         let (sender, log) = channel();
-        let lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+        let lines = BufReader::new(child.stderr.take().expect("stderr is not piped")).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         RouterProcess { child, log, seen_lines: Vec::new(), folder: folder(base), started_at: Instant::now() }
     }
 
-    /// Waits for a line of the log that contains this text.
+    /// Waits for a log line that contains this text. Returns at once if there has been one.
     pub(crate) fn wait_for_log(&mut self, part: &str) {
         let deadline = Instant::now() + PATIENCE;
         while !self.seen_lines.iter().any(|line| line.contains(part)) {
             let line = self.log.recv_timeout(deadline.saturating_duration_since(Instant::now()));
-            self.seen_lines.push(line.unwrap_or_else(|_| panic!("no \"{part}\" in {:#?}", self.seen_lines)));
+            self.seen_lines
+                .push(line.unwrap_or_else(|_| panic!("\"{part}\" not found in log {:#?}", self.seen_lines)));
         }
     }
 
-    /// Whether no such line has come in the log yet; fails when none has come for far too long.
+    /// Returns whether no log line contains this text yet. Panics if that is still so [`PATIENCE`] after the start.
     pub(crate) fn has_not_logged(&mut self, part: &str) -> bool {
         self.seen_lines.extend(self.log.try_iter());
         let logged = self.seen_lines.iter().any(|line| line.contains(part));
-        assert!(logged || self.started_at.elapsed() < PATIENCE, "no \"{part}\" in {:#?}", self.seen_lines);
+        assert!(
+            logged || self.started_at.elapsed() < PATIENCE,
+            "\"{part}\" not found in log {:#?}",
+            self.seen_lines
+        );
         !logged
     }
 
-    /// Sends it a signal by its name, such as `TERM`.
+    /// Sends a signal, named without `SIG` as in `TERM`.
     pub(crate) fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        let killed = Command::new("kill").args([&format!("-{name}"), &pid]).status().expect("kill runs");
+        let killed =
+            Command::new("kill").args([&format!("-{name}"), &pid]).status().expect("failed to run kill");
         assert!(killed.success());
     }
 
-    /// Whether it has not exited yet.
     pub(crate) fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("a child of this process").is_none()
+        self.child.try_wait().expect("failed to get the exit status").is_none()
     }
 
-    /// Sends SIGTERM, and returns its log once it has exited with success.
+    /// Sends SIGTERM, waits for a successful exit, and returns the log.
     pub(crate) fn terminate(mut self) -> String {
         self.signal("TERM");
         self.wait_for_exit(ExpectedExit::Success)
     }
 
-    /// Its log once it has exited.
+    /// Waits for the router to exit as expected, and returns the log.
     pub(crate) fn wait_for_exit(&mut self, expected: ExpectedExit) -> String {
-        let status = self.child.wait().expect("it ends");
+        let status = self.child.wait().expect("failed to wait for the exit");
         self.seen_lines.extend(self.log.iter());
         let expects_success = expected == ExpectedExit::Success;
         assert_eq!(status.success(), expects_success, "{status}: {:#?}", self.seen_lines);
@@ -94,23 +98,20 @@
     }
 }
 
-/// A running router that has received its first endpoint list from the stub of discovery.
+/// A running router that has received the endpoint list from a stub of discovery.
 pub(crate) struct RunningRouter {
-    /// The router itself.
     pub(crate) process: RouterProcess,
-    /// Its discovery.
     pub(crate) discovery: DiscoveryStub,
-    /// Its watch on the endpoint list.
+    /// The router's open watch on the endpoint list.
     pub(crate) watch: Watch,
 }
 
-/// Starts the router on a private set of addresses, with a snapshot of these endpoints and with parts of its
-/// configuration replaced.
+/// Starts the router with a snapshot of these endpoints, and with text replacements in its configuration.
 pub(crate) fn start_router(base: &str, endpoints: &[&str], replacements: &[(&str, &str)]) -> RunningRouter {
     start_router_with_variables(base, endpoints, replacements, &[])
 }
 
-/// The same with more environment variables.
+/// As [`start_router`], with additional environment variables.
 pub(crate) fn start_router_with_variables(
     base: &str, endpoints: &[&str], replacements: &[(&str, &str)], variables: &[(&str, &Path)],
 ) -> RunningRouter {
--- a/tests/common/scheduler_harness.rs
+++ b/tests/common/scheduler_harness.rs
@@ -1,4 +1,4 @@
-//! A scheduler with a small fleet, driven event by event.
+//! A test harness that drives a scheduler with a small fleet, event by event.
 
 use inference_router::scheduler::{
     Action, AttemptId, CacheKey, Capabilities, CellId, EndpointId, EndpointKind, EndpointUpdate, Event,
@@ -6,22 +6,20 @@
     Scheduler, Settings, ZoneId,
 };
 
-/// One millisecond.
 pub(crate) const MILLISECOND: Micros = 1_000;
-/// One second.
 pub(crate) const SECOND: Micros = 1_000_000;
-/// The endpoint that is a prefill endpoint in most tests.
+/// ID of the prefill endpoint in most tests.
 pub(crate) const PREFILL: u32 = 1;
-/// The endpoint that is a decode endpoint in most tests.
+/// ID of the decode endpoint in most tests.
 pub(crate) const DECODE: u32 = 10;
-/// When a harness starts.
+/// Time at which a harness starts.
 const START: Micros = 100 * SECOND;
-/// The seed of a harness whose test does not choose one.
+/// Seed of the scheduler if the test does not set one.
 const DEFAULT_SEED: u64 = 5;
-/// How long an attempt takes where a test does not say.
+/// Duration of an attempt if the test does not set one.
 const ATTEMPT_DURATION: Micros = 20 * MILLISECOND;
 
-/// Settings with one idempotent class and the kinds prefill (0), decode (1) and mixed (2).
+/// Returns settings with one idempotent class and the kinds prefill (0), decode (1) and mixed (2).
 pub(crate) fn settings() -> Settings {
     Settings {
         replicas: 2,
@@ -64,24 +62,24 @@
     }
 }
 
-/// Settings by which the memory of decode endpoints limits nothing.
+/// As [`settings`], with so much memory at decode endpoints that it never limits admission.
 pub(crate) fn settings_with_ample_memory() -> Settings {
     let mut settings = settings();
     settings.kinds[1].memory_tokens = Some(1e9);
     settings
 }
 
-/// A ready endpoint, by the index of its kind in [`settings`].
+/// Returns a ready endpoint of a kind, which is an index into the kinds of [`settings`].
 pub(crate) fn endpoint_update(endpoint: u32, kind: usize) -> EndpointUpdate {
     EndpointUpdate { endpoint: EndpointId(endpoint), kind: KindId(kind), ..EndpointUpdate::default() }
 }
 
-/// The same in a cell.
+/// As [`endpoint_update`], in a cell.
 pub(crate) fn endpoint_in_cell(endpoint: u32, kind: usize, cell: i64) -> EndpointUpdate {
     EndpointUpdate { cell: CellId(cell), ..endpoint_update(endpoint, kind) }
 }
 
-/// A request that shares its prompt prefix with all others.
+/// Returns a request with the same prompt prefix as all others.
 pub(crate) fn request_spec(id: u64) -> RequestSpec {
     RequestSpec {
         id: RequestId(id),
@@ -96,28 +94,27 @@
     }
 }
 
-/// A scheduler and its clock.
+/// A scheduler and its simulated clock.
 pub(crate) struct SchedulerHarness {
-    /// The scheduler under test.
     pub(crate) scheduler: Scheduler,
-    /// The time of the last event.
+    /// Time of the last event.
     pub(crate) now: Micros,
 }
 
 impl SchedulerHarness {
-    /// A scheduler that has received a snapshot of these endpoints.
+    /// Creates a scheduler that has received a snapshot of these endpoints.
     pub(crate) fn new(settings: Settings, endpoints: &[EndpointUpdate]) -> Self {
         SchedulerHarness::with_seed(settings, DEFAULT_SEED, endpoints)
     }
 
-    /// The same with a seed: replicas of one fleet differ in it.
+    /// As [`Self::new`], with a seed. The replicas of a fleet have different seeds.
     pub(crate) fn with_seed(settings: Settings, seed: u64, endpoints: &[EndpointUpdate]) -> Self {
         let mut harness = SchedulerHarness { scheduler: Scheduler::new(settings, seed), now: START };
         harness.receive_snapshot(endpoints);
         harness
     }
 
-    /// Handles events after a while; returns the actions except timers.
+    /// Advances the clock and handles events. Returns the actions except timers.
     pub(crate) fn step(&mut self, after: Micros, events: &[Event]) -> Vec<Action> {
         self.now += after;
         let mut actions = Vec::new();
@@ -126,48 +123,47 @@
         actions
     }
 
-    /// Receives a complete endpoint list.
+    /// Receives a snapshot of the endpoint list.
     pub(crate) fn receive_snapshot(&mut self, updates: &[EndpointUpdate]) -> Vec<Action> {
         self.step(0, &[Event::EndpointsChanged { snapshot: true, updates: updates.to_vec() }])
     }
 
-    /// Receives changes of the endpoint list.
+    /// Receives a delta of the endpoint list.
     pub(crate) fn receive_delta(&mut self, updates: &[EndpointUpdate]) -> Vec<Action> {
         self.step(0, &[Event::EndpointsChanged { snapshot: false, updates: updates.to_vec() }])
     }
 
-    /// Receives the usual request.
+    /// Receives the request of [`request_spec`].
     pub(crate) fn receive_request(&mut self, id: u64) -> Vec<Action> {
         self.receive(request_spec(id))
     }
 
-    /// Receives a request.
     pub(crate) fn receive(&mut self, request: RequestSpec) -> Vec<Action> {
         self.step(0, &[Event::RequestReceived(request)])
     }
 
-    /// Receives an endpoint's load report with the answer to a health check.
+    /// Receives a load report of an endpoint in the result of a health check.
     pub(crate) fn receive_load_report(&mut self, after: Micros, endpoint: u32, report: LoadReport) {
         self.step(after, &[health_checked(endpoint, report)]);
     }
 
-    /// Fires the timer after a while.
+    /// Advances the clock and fires the timer.
     pub(crate) fn tick(&mut self, after: Micros) -> Vec<Action> {
         self.step(after, &[Event::TimerFired(0)])
     }
 
-    /// Finishes an attempt without a final answer after the usual time.
+    /// Finishes an attempt after [`ATTEMPT_DURATION`], without a final answer to the request.
     pub(crate) fn finish_attempt(&mut self, id: u64, endpoint: u32, outcome: Outcome) -> Vec<Action> {
         self.step(ATTEMPT_DURATION, &[attempt_finished(id, endpoint, outcome, false)])
     }
 
-    /// Streams an answer from its first token to its end at once.
+    /// Completes a stream at the same time as its first token.
     pub(crate) fn complete_stream(&mut self, id: u64, endpoint: u32) -> Vec<Action> {
         let events = [first_token(id, endpoint), attempt_finished(id, endpoint, Outcome::Completed, true)];
         self.step(0, &events)
     }
 
-    /// Plays a request to its end with a stream of this duration; returns its decode endpoint, if it came so far.
+    /// Serves a request with a stream of this duration. Returns its decode endpoint, or `None` if no send was made.
     pub(crate) fn serve(&mut self, id: u64, stream_duration: Micros) -> Option<u32> {
         let prefill = sent_endpoint(&self.receive_request(id))?;
         let decode = sent_endpoint(&self.finish_attempt(id, prefill, Outcome::Prefilled))?;
@@ -177,7 +173,7 @@
     }
 }
 
-/// The first token of an answer.
+/// Returns the event of the first token.
 pub(crate) fn first_token(id: u64, endpoint: u32) -> Event {
     Event::FirstToken {
         request: RequestId(id),
@@ -187,7 +183,7 @@
     }
 }
 
-/// The end of an attempt after the usual time.
+/// Returns the event of an attempt that ends after [`ATTEMPT_DURATION`].
 pub(crate) fn attempt_finished(id: u64, endpoint: u32, outcome: Outcome, is_final: bool) -> Event {
     Event::AttemptFinished {
         request: RequestId(id),
@@ -201,12 +197,12 @@
     }
 }
 
-/// The end of an attempt, without a final answer, after this long.
+/// As [`attempt_finished`], with another duration and without a final answer.
 pub(crate) fn attempt_finished_after(id: u64, endpoint: u32, outcome: Outcome, after: Micros) -> Event {
     with_elapsed(attempt_finished(id, endpoint, outcome, false), after)
 }
 
-/// The end of an attempt with another duration.
+/// Sets the duration in the event of a finished attempt.
 pub(crate) fn with_elapsed(mut event: Event, duration: Micros) -> Event {
     if let Event::AttemptFinished { elapsed, .. } = &mut event {
         *elapsed = duration;
@@ -214,7 +210,7 @@
     event
 }
 
-/// A health check that succeeded, with a load report.
+/// Returns the event of a successful health check with this load report.
 pub(crate) fn health_checked(endpoint: u32, report: LoadReport) -> Event {
     Event::HealthChecked {
         endpoint: EndpointId(endpoint),
@@ -223,7 +219,7 @@
     }
 }
 
-/// The endpoint of the first send among these actions.
+/// Returns the endpoint of the first `Send` action.
 pub(crate) fn sent_endpoint(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
         Action::Send { endpoint, .. } => Some(endpoint.0),
@@ -231,7 +227,7 @@
     })
 }
 
-/// How many of these actions are final answers.
+/// Counts the actions that are final answers.
 pub(crate) fn final_answers(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::Reject { .. } | Action::Fail(_))).count()
 }
--- a/tests/common/script/mod.rs
+++ b/tests/common/script/mod.rs
@@ -1,5 +1,5 @@
-//! Plays recorded exchanges against the router: a script's peers are clients, endpoint stubs and discovery on
-//! loopback sockets. Every step waits for bytes or for an end, never for a time to pass.
+//! Runs scripts of recorded exchanges against the router. The peers in a script are clients, endpoint stubs and
+//! discovery on loopback sockets. Every step waits for bytes or for the end of a connection, never for a fixed time.
 
 mod parse;
 mod pattern;
@@ -15,10 +15,10 @@
 use super::discovery_stub::serve_endpoint_list;
 use super::router_process::RouterProcess;
 
-/// The port of discovery where the script plays it.
+/// Port of discovery if it is a peer in the script.
 const DISCOVERY_PORT: u32 = 8_500;
 
-/// A script that is being played.
+/// The state of a running script.
 struct Player {
     base: String,
     api: Api,
@@ -28,7 +28,7 @@
     expected_counters: Vec<String>,
 }
 
-/// Plays one script. Its head line names the API and the endpoints: `platform r1 w1` or `chat s1 s2`.
+/// Runs one script. Its first line names the API and the endpoints: `platform r1 w1` or `chat s1 s2`.
 pub(crate) fn play(script: &str) {
     let mut player = Player::start(&Setup::parse(script));
     for step in steps(script, &player.base) {
@@ -58,7 +58,9 @@
             Step::Configure(configuration) => write_configuration(&self.base, configuration),
             Step::ChangeEndpoint { name, state } => {
                 let entry = endpoint_entry(&self.base, name, state);
-                self.endpoint_changes.send(endpoint_list(2, false, &[entry])).expect("a watch");
+                self.endpoint_changes
+                    .send(endpoint_list(2, false, &[entry]))
+                    .expect("discovery stub has stopped");
             }
             Step::Peer { name, action } => {
                 let router_address = format!("{}:{}", self.base, self.api.port());
@@ -69,20 +71,24 @@
         }
     }
 
-    /// What nobody expected must not have come: a resend, a second answer, a last chunk.
+    /// Stops the router. Checks that no peer has received unexpected bytes, such as a retry, a second answer or a last
+    /// chunk, and that the log has the expected counters.
     fn finish(self) {
         let log = self.router.terminate();
         for (name, mut peer) in self.peers {
             peer.assert_finished(&name);
         }
         for counter in self.expected_counters {
-            let (name, value) = counter.split_once(' ').expect("a counter and its value");
-            assert!(log.contains(&format!("\"{name}\":{value},")), "counter {counter} in\n{log}");
+            let (name, value) = counter.split_once(' ').expect("expected a counter and its value");
+            assert!(
+                log.contains(&format!("\"{name}\":{value},")),
+                "counter {counter} not found in log\n{log}"
+            );
         }
     }
 }
 
-/// The endpoints of a script that listen, and discovery where the script plays it.
+/// Starts the endpoints of a script that listen, and discovery if it is a peer in the script.
 fn listening_peers(base: &str, setup: &Setup<'_>) -> BTreeMap<String, ScriptPeer> {
     let names = setup.names.iter().filter(|name| !name.starts_with('!'));
     let start = |name: &&str| {
@@ -92,7 +98,7 @@
     names.map(start).collect()
 }
 
-/// Starts the router and waits until it serves.
+/// Starts the router and waits until it accepts requests.
 fn start_router(base: &str, setup: &Setup<'_>) -> RouterProcess {
     let path = setup.api.write_configuration(base, &setup.names);
     let mut router = match setup.api {
--- a/tests/common/script/parse.rs
+++ b/tests/common/script/parse.rs
@@ -1,4 +1,4 @@
-//! The text of a script, read into typed steps.
+//! Parses the text of a script into typed steps.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
     chat_config, configuration, file, platform_config, platform_config_with_discovery, port,
 };
 
-/// Stands for the test's loopback addresses in a script.
+/// Placeholder for the test's loopback address in a script.
 const BASE_PLACEHOLDER: &str = "{base}";
 
 /// A heading (`== ...`) and the lines below it.
@@ -20,71 +20,59 @@
 pub(super) enum Step {
     /// Sends the router a signal.
     Signal(&'static str),
-    /// Waits for a line of the router's log.
+    /// Waits for a line in the router's log.
     WaitForLog(String),
     /// Replaces the router's configuration file.
     Configure(Configuration),
-    /// Reports another state of an endpoint on the watch.
-    ChangeEndpoint {
-        /// The endpoint's name.
-        name: String,
-        /// Its new state.
-        state: String,
-    },
-    /// Lets a peer do something.
-    Peer {
-        /// The peer's name.
-        name: String,
-        /// What it does.
-        action: PeerAction,
-    },
-    /// Lists counters that the router logs at its end, each with its value.
+    /// Sends a new state of an endpoint on the watch.
+    ChangeEndpoint { name: String, state: String },
+    /// Performs an action of a peer.
+    Peer { name: String, action: PeerAction },
+    /// Expects these counters in the router's log at exit, each with its value.
     ExpectCounters(Vec<String>),
 }
 
-/// What a script's configuration file becomes.
+/// The configuration that replaces the present one.
 pub(super) enum Configuration {
-    /// A text that is no configuration.
+    /// An invalid configuration.
     Malformed,
-    /// One with another peer as discovery.
+    /// A configuration with the peer of this name as discovery.
     Discovery(String),
 }
 
-/// What a peer of the router does.
+/// An action of a peer.
 pub(super) enum PeerAction {
-    /// Sends bytes on its present connection, or on its first one.
+    /// Sends bytes on the current connection; opens the first one if there is none.
     Send(Vec<u8>),
-    /// Waits until one of its connections has received exactly this; goes on with that one.
+    /// Waits until all that a connection has received matches this pattern, and makes it the current connection.
     Expect(Vec<u8>),
-    /// Closes its present connection.
+    /// Closes the current connection.
     Close,
-    /// Goes on with an earlier connection, by its index.
+    /// Makes the connection with this index the current one.
     SwitchTo(usize),
-    /// Waits until the router has closed its present connection.
+    /// Waits until the router has closed the current connection.
     ExpectClosed,
 }
 
-/// A step and the heading that failures show.
+/// A step and its title for failure messages.
 pub(super) struct TitledStep {
-    /// The step's number, from 1, and its heading.
+    /// The number of the step, starting at 1, and its heading.
     pub(super) title: String,
-    /// The step.
     pub(super) step: Step,
 }
 
-/// The API that a script's clients use.
+/// The API that the clients in a script use.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Api {
-    /// The platform's API.
+    /// The platform API.
     Platform,
-    /// The platform's API where endpoints may be health checked.
+    /// The platform API, with health checks of endpoints enabled.
     PlatformWithHealthChecks,
-    /// The chat API.
     Chat,
 }
 
 impl Api {
-    /// The port of its listener.
+    /// Returns the port on which the router serves this API.
     pub(super) fn port(self) -> u32 {
         match self {
             Api::Platform | Api::PlatformWithHealthChecks => 8_081,
@@ -92,7 +80,7 @@
         }
     }
 
-    /// Writes the configuration of a router that serves it.
+    /// Writes the configuration of a router that serves this API, and returns its path.
     pub(super) fn write_configuration(self, base: &str, endpoints: &[&str]) -> PathBuf {
         match self {
             Api::Platform => platform_config(base),
@@ -104,19 +92,18 @@
     }
 }
 
-/// The head line of a script: the API, then the endpoints, as in `platform r1 w1` or `chat s1 s2`.
+/// The first line of a script: the API and the endpoints, as in `platform r1 w1` or `chat s1 s2`.
 pub(super) struct Setup<'a> {
-    /// The API.
     pub(super) api: Api,
-    /// The names: `!w1` is on the list and does not listen; `d` is discovery itself, played by the script.
+    /// The endpoints. `!w1` is in the endpoint list but does not listen; `d` is discovery as a peer in the script.
     pub(super) names: Vec<&'a str>,
 }
 
 impl<'a> Setup<'a> {
-    /// Reads the first line of a script that is no comment.
+    /// Parses the first line of a script that is not a comment.
     pub(super) fn parse(script: &'a str) -> Self {
-        let head = script.lines().find(|line| !line.starts_with('#')).expect("a head line");
-        let (api, names) = head.split_once(' ').expect("an API and its endpoints");
+        let head = script.lines().find(|line| !line.starts_with('#')).expect("script has no first line");
+        let (api, names) = head.split_once(' ').expect("expected an API and its endpoints");
         let api = match api {
             "platform" => Api::Platform,
             "probing" => Api::PlatformWithHealthChecks,
@@ -125,13 +112,13 @@
         Setup { api, names: names.split(' ').collect() }
     }
 
-    /// Whether the script plays discovery itself.
+    /// Whether discovery is a peer in the script.
     pub(super) fn scripts_discovery(&self) -> bool {
         self.names.contains(&"d")
     }
 }
 
-/// Reads the steps of a script for a router at these addresses.
+/// Parses the steps of a script for a router at this address.
 pub(super) fn steps(script: &str, base: &str) -> Vec<TitledStep> {
     let templates = sections(include_str!("../../exchanges/templates.txt"));
     let read = |(index, section): (usize, &Section)| {
@@ -144,7 +131,7 @@
     sections(script).iter().enumerate().map(read).collect()
 }
 
-/// Writes the configuration that a step asks for.
+/// Writes the configuration that a step specifies.
 pub(super) fn write_configuration(base: &str, configuration: &Configuration) {
     match configuration {
         Configuration::Malformed => {
@@ -168,7 +155,7 @@
     sections
 }
 
-/// Replaces each line `@name argument...` by the template of that name, with its arguments for `$1`, `$2` and so on.
+/// Replaces each line `@name argument...` with the template of that name. The arguments replace `$1`, `$2` and so on.
 fn expand(lines: &[String], templates: &[Section]) -> Vec<String> {
     lines.iter().flat_map(|line| expand_line(line, templates)).collect()
 }
@@ -176,7 +163,7 @@
 fn expand_line(line: &str, templates: &[Section]) -> Vec<String> {
     let Some(call) = line.strip_prefix('@') else { return vec![line.to_owned()] };
     let words: Vec<_> = call.split(' ').collect();
-    let template = templates.iter().find(|template| template.heading == words[0]).expect("a known template");
+    let template = templates.iter().find(|template| template.heading == words[0]).expect("unknown template");
     let fill = |template_line: &String| {
         let arguments = words.iter().enumerate().skip(1);
         arguments
@@ -195,7 +182,7 @@
         "configured" if rest == "badly" => Step::Configure(Configuration::Malformed),
         "configured" => Step::Configure(Configuration::Discovery(rest.to_owned())),
         "update" => {
-            let (name, state) = rest.split_once(' ').expect("an endpoint and its state");
+            let (name, state) = rest.split_once(' ').expect("expected an endpoint and its state");
             Step::ChangeEndpoint { name: name.to_owned(), state: state.to_owned() }
         }
         name => Step::Peer { name: name.to_owned(), action: parse_peer_action(rest, lines, title) },
@@ -204,7 +191,9 @@
 
 fn parse_peer_action(verb: &str, lines: &[String], title: &str) -> PeerAction {
     if let Some(number) = verb.strip_prefix("is on ") {
-        return PeerAction::SwitchTo(number.parse::<usize>().expect("a connection") - 1);
+        return PeerAction::SwitchTo(
+            number.parse::<usize>().expect("expected the number of a connection") - 1,
+        );
     }
     match verb {
         "sends" => PeerAction::Send(message_bytes(lines)),
--- a/tests/common/script/pattern.rs
+++ b/tests/common/script/pattern.rs
@@ -1,9 +1,9 @@
-//! Bytes that a script's lines stand for, and patterns of them.
+//! Converts the lines of a message in a script to bytes, and matches received bytes against them.
 
-/// What a line `noise` stands for: bytes that are no HTTP.
+/// The bytes of a `noise` line, which are not valid HTTP.
 const NOISE: &str = "\u{1}\u{13}n\0ise\u{7f}";
 
-/// Whether a text matches the pattern, where `*` stands for anything within a line.
+/// Returns whether a text matches the pattern. `*` matches any bytes up to the end of a line.
 pub(super) fn matches(pattern: &[u8], text: &[u8]) -> bool {
     match pattern.split_first() {
         None => text.is_empty(),
@@ -17,8 +17,8 @@
     }
 }
 
-/// The bytes of a message: `body:` and `chunk:` lines with `\n` for line ends, `repeat N:` lines, header lines in
-/// which `{len}` stands for the length of the body.
+/// Returns the bytes of a message. Its lines are `body:` and `chunk:` lines, in which `\n` is a line end, `repeat N:`
+/// lines, `noise`, and header lines, in which `{len}` is replaced with the length of the body.
 pub(super) fn message_bytes(lines: &[String]) -> Vec<u8> {
     let body_length: usize = lines.iter().filter_map(|line| body(line)).map(|body| body.len()).sum();
     let mut text = String::new();
@@ -40,7 +40,7 @@
         return NOISE.to_owned();
     }
     if let Some((times, text)) = line.strip_prefix("repeat ").and_then(|rest| rest.split_once(": ")) {
-        return text.repeat(times.parse().expect("a number"));
+        return text.repeat(times.parse().expect("expected a number after `repeat`"));
     }
     line.replace("{len}", &body_length.to_string()) + "\r\n"
 }
--- a/tests/common/script/peer.rs
+++ b/tests/common/script/peer.rs
@@ -1,4 +1,4 @@
-//! A peer of the router in a script: a client, an endpoint stub or discovery, with all its connections.
+//! A peer of the router in a script (a client, an endpoint stub or discovery) with all its connections.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -21,12 +21,12 @@
     closed: bool,
 }
 
-/// One party on sockets: a client that connects, or a stub that listens.
+/// A client that connects to the router, or a stub that accepts connections.
 pub(super) struct ScriptPeer {
     events: Receiver<PeerEvent>,
     sender: Sender<PeerEvent>,
     connections: Vec<PeerConnection>,
-    /// The index of the connection that is used now.
+    /// Index of the current connection.
     current: usize,
 }
 
@@ -44,16 +44,16 @@
 }
 
 impl ScriptPeer {
-    /// A client without a connection yet.
+    /// Creates a client without connections.
     pub(super) fn client() -> Self {
         let (sender, events) = channel();
         ScriptPeer { events, sender, connections: Vec::new(), current: 0 }
     }
 
-    /// A stub that listens at an address.
+    /// Starts a stub that listens on an address.
     pub(super) fn listening(address: &str) -> Self {
         let peer = ScriptPeer::client();
-        let listener = TcpListener::bind(address).expect("a free address");
+        let listener = TcpListener::bind(address).expect("failed to bind");
         let sender = peer.sender.clone();
         std::thread::spawn(move || {
             for socket in listener.incoming().flatten() {
@@ -65,12 +65,12 @@
         peer
     }
 
-    /// Does what a step says; a first message opens a connection to `router_address`.
+    /// Performs the action of a step. The first message of a client opens a connection to `router_address`.
     pub(super) fn perform(&mut self, action: &PeerAction, router_address: &str, title: &str) {
         match action {
             PeerAction::Send(bytes) => {
                 if self.connections.is_empty() {
-                    self.open(TcpStream::connect(router_address).expect("it listens"));
+                    self.open(TcpStream::connect(router_address).expect("failed to connect to the router"));
                 }
                 self.send(bytes);
             }
@@ -79,33 +79,33 @@
             PeerAction::SwitchTo(connection) => self.current = *connection,
             PeerAction::ExpectClosed => {
                 while !self.connections[self.current].closed {
-                    assert!(self.wait_for_event(), "{title}: still open");
+                    assert!(self.wait_for_event(), "{title}: the connection is still open");
                 }
             }
         }
     }
 
-    /// Checks, once the router has exited, that all connections are closed and nothing else was received.
+    /// Checks after the exit of the router that all connections are closed and all received bytes were expected.
     pub(super) fn assert_finished(&mut self, name: &str) {
         while let Ok(event) = self.events.try_recv() {
             self.handle(event);
         }
         while self.connections.iter().any(|connection| !connection.closed) {
-            assert!(self.wait_for_event(), "{name}: a connection outlives the program");
+            assert!(self.wait_for_event(), "{name}: a connection is still open after the exit of the router");
         }
         let nothing_unread = self.connections.iter().all(|connection| connection.unread.is_empty());
-        assert!(nothing_unread, "{name} also got\n{}", self.unread_text());
+        assert!(nothing_unread, "{name}: unexpected bytes\n{}", self.unread_text());
     }
 
     fn open(&mut self, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
         let index = self.connections.len();
-        forward_received(socket.try_clone().expect("a second handle"), index, self.sender.clone());
+        forward_received(socket.try_clone().expect("failed to clone the socket"), index, self.sender.clone());
         self.current = index;
         self.connections.push(PeerConnection { socket: Some(socket), ..PeerConnection::default() });
     }
 
-    /// Handles one event; false when none came in time.
+    /// Waits for one event and handles it. Returns false on a time-out.
     fn wait_for_event(&mut self) -> bool {
         let Ok(event) = self.events.recv_timeout(PATIENCE) else { return false };
         self.handle(event);
@@ -121,8 +121,8 @@
     }
 
     fn send(&mut self, bytes: &[u8]) {
-        let socket = self.connections[self.current].socket.as_mut().expect("an open connection");
-        socket.write_all(bytes).expect("the program to read");
+        let socket = self.connections[self.current].socket.as_mut().expect("the connection is closed");
+        socket.write_all(bytes).expect("failed to write");
     }
 
     fn expect(&mut self, pattern: &[u8], title: &str) {
@@ -130,7 +130,7 @@
             let expected = String::from_utf8_lossy(pattern);
             assert!(self.wait_for_event(), "{title}: expected\n{expected}\nfound\n{}", self.unread_text());
         }
-        self.current = self.connection_matching(pattern).expect("it was found");
+        self.current = self.connection_matching(pattern).expect("the loop ends on a match");
         self.connections[self.current].unread.clear();
     }
 
--- a/tests/common/stubbed_router.rs
+++ b/tests/common/stubbed_router.rs
@@ -1,4 +1,4 @@
-//! A router between one prefill stub and one decode stub, which most tests on sockets need.
+//! A router with one prefill stub and one decode stub, the setup of most tests that use sockets.
 
 use super::config_files::address;
 use super::connection::{Connection, connect_client};
@@ -7,7 +7,7 @@
 use super::router_process::{RouterProcess, RunningRouter, start_router};
 use super::stub_listener::StubListener;
 
-/// Answers the prefill of a request at a stub; the connection stays open as long as the result.
+/// Accepts a request at a prefill stub and answers it. Dropping the result closes the connection.
 pub(crate) fn answer_prefill(stub: &StubListener, id: &str) -> Connection {
     let mut connection = stub.accept();
     let received = connection.read_message();
@@ -16,7 +16,7 @@
     connection
 }
 
-/// Accepts a request at a decode stub, and starts its stream.
+/// Accepts a request at a decode stub and starts its stream. Dropping the result closes the connection.
 pub(crate) fn start_stream(stub: &StubListener, id: &str) -> Connection {
     let mut connection = stub.accept();
     let received = connection.read_message();
@@ -25,21 +25,20 @@
     connection
 }
 
-/// The router, with a prefill stub and a decode stub that the test plays.
+/// A running router with a prefill stub and a decode stub.
 pub(crate) struct StubbedRouter {
     base: String,
     /// The endpoint `r1`.
     pub(crate) prefill_stub: StubListener,
     /// The endpoint `w1`.
     pub(crate) decode_stub: StubListener,
-    /// The router itself.
     pub(crate) process: RouterProcess,
     _discovery: DiscoveryStub,
     _watch: Watch,
 }
 
 impl StubbedRouter {
-    /// Starts the router with parts of its configuration replaced.
+    /// Starts the router with text replacements in its configuration.
     pub(crate) fn start(replacements: &[(&str, &str)]) -> Self {
         let base = address();
         let prefill_stub = StubListener::endpoint(&base, "r1");
@@ -48,12 +47,12 @@
         StubbedRouter { base, prefill_stub, decode_stub, process, _discovery: discovery, _watch: watch }
     }
 
-    /// A client's connection to the router.
+    /// Connects a client to the router.
     pub(crate) fn client(&self) -> Connection {
         connect_client(&self.base)
     }
 
-    /// Plays a request to the end of its answer; the stubs' connections stay open as long as the result.
+    /// Serves a request from prefill to the end of its stream. Dropping the result closes the stubs' connections.
     pub(crate) fn answer_request(&self, id: &str, client: &mut Connection) -> [Connection; 2] {
         let prefill = answer_prefill(&self.prefill_stub, id);
         let mut stream = start_stream(&self.decode_stub, id);
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: what the adapter makes of its text, and the text that it answers.
+//! The JSON interface between simulator and adapter: parsing of events, and serialization of commands.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -12,20 +12,20 @@
 "invariants":{"answerSlack":8.0,"drainGrace":2000.0,"fallMultiple":4.0,"overloadFor":1000.0,"rampTime":12000.0,
 "startCapacity":0.26},"kinds":["k1","k2"],"lanes":[{"deadline":4000.0,"lateWorth":0.2,"name":"c1","objective":1000.0,
 "semantics":"read_like","stream":true,"worth":1.0}],"limits":{"cancelling":true,"maxAttempts":4,"maxRetryAfter":1000.0,
-"mayDuplicate":false,"mayProbe":false,"retryAfter":true},"locality":"z1","membershipMode":"push","unheardOf":[1]}"#;
+"mayDuplicate":false,"mayProbe":false,"retryAfter":true},"locality":"z1","membershipMode":"push","unknown":[1]}"#;
 
-const REQUEST: &str = r#"{"t":"call","handle":9,"nPrompt":1800,"remaining":4000.0,"priority":"c1","outputCap":256,"clientGroup":"t1","novel":{}}"#;
+const REQUEST: &str = r#"{"t":"call","handle":9,"nPrompt":1800,"remaining":4000.0,"priority":"c1","outputCap":256,"clientGroup":"t1","unknown":{}}"#;
 
 const NO_COMMANDS: &str = r#"{"dispatchers":[]}"#;
 
-/// The events that launch a replica with these settings, one prefill endpoint and one decode endpoint.
+/// Returns the events that launch a replica with these settings, one prefill endpoint and one decode endpoint.
 fn launch_events(settings: &str) -> String {
     let settings = settings.replace('\n', "");
     let endpoints = r#"{"t":"update","form":"Persisted","rev":1,"elements":[{"dc":"z1","sku":"k1","pod":0,"phase":"SERVING","host":1},{"dc":"z1","sku":"k2","pod":0,"phase":"SERVING","host":2}]}"#;
     format!(r#"{{"t":"launch","salt":1,"options":{settings}}},{endpoints}"#)
 }
 
-/// A batch of one replica's events.
+/// Returns a batch with the events of one replica.
 fn batch(now_ms: f64, events: &str) -> String {
     format!(r#"{{"atTime":{now_ms},"dispatchers":[{{"dispatcherId":3,"events":[{events}]}}]}}"#)
 }
@@ -40,7 +40,7 @@
     adapter
 }
 
-/// The text of the error that the adapter answers a batch with.
+/// Returns the message of the error that the batch causes.
 fn error_text(mut adapter: Adapter, batch: &str) -> String {
     adapter.handle_batch(batch.as_bytes()).unwrap_err().to_string()
 }
@@ -71,7 +71,7 @@
         (r#"{"t":"call","handle":9}"#, "missing field"),
         (r#"{"t":"call","handle":"x"}"#, "invalid type"),
         (r#"{"t":"reply","handle":9,"host":1,"took":1.0,"stateCode":"fine"}"#, "unknown variant `fine`"),
-        (r#"{"t":"nonesuch"}"#, "unknown variant `nonesuch`"),
+        (r#"{"t":"unknownEvent"}"#, "unknown variant `unknownEvent`"),
         (
             r#"{"t":"call","handle":9,"nPrompt":1,"remaining":1,"priority":"c9","outputCap":1}"#,
             "unknown class \"c9\"",
