--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -19,7 +19,7 @@
 }
 
 /// Processes `input` line by line until it ends, and writes one line of `output` for each.
-fn answer_lines(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+fn process_lines(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut batch = Vec::new();
     for line in 1.. {
@@ -42,7 +42,7 @@
 }
 
 fn main() -> ExitCode {
-    match answer_lines(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
+    match process_lines(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -10,7 +10,7 @@
 use crate::scheduler::{Action, Event, Micros, Scheduler};
 
 /// A simulated replica, which exists from its launch event to its destroy event.
-struct Replica {
+struct SimulatedReplica {
     scheduler: Scheduler,
     names: SettingNames,
 }
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub struct Adapter {
     /// Keyed by `dispatcherId`.
-    replicas: BTreeMap<u64, Replica>,
+    replicas: BTreeMap<u64, SimulatedReplica>,
 }
 
 impl Adapter {
@@ -36,7 +36,7 @@
         let mut reply = BatchReply { outboxes: Vec::new() };
         for inbox in batch.inboxes {
             let replica_id = inbox.replica;
-            let actions = self.play_inbox(now, inbox)?;
+            let actions = self.process_inbox(now, inbox)?;
             if !actions.is_empty() {
                 let commands = actions.into_iter().map(command_from_action).collect();
                 reply.outboxes.push(Outbox { replica: replica_id, commands });
@@ -46,11 +46,11 @@
     }
 
     /// Processes the events of one replica as one round of its scheduler.
-    fn play_inbox(&mut self, now: Micros, inbox: Inbox) -> Result<Vec<Action>, BatchError> {
+    fn process_inbox(&mut self, now: Micros, inbox: Inbox) -> Result<Vec<Action>, BatchError> {
         let replica_id = inbox.replica;
         let mut events = Vec::new();
         for (index, message) in inbox.events.into_iter().enumerate() {
-            self.accept(replica_id, message, &mut events).map_err(|source| BatchError::Event {
+            self.apply_event(replica_id, message, &mut events).map_err(|source| BatchError::Event {
                 replica: replica_id,
                 index,
                 source,
@@ -65,14 +65,14 @@
 
     /// Launches or destroys the replica, or appends the message's event to the `events` of its round. A
     /// launch and a destruction discard the events before them, which were for the previous scheduler.
-    fn accept(
+    fn apply_event(
         &mut self, replica_id: u64, message: WireEvent, events: &mut Vec<Event>,
     ) -> Result<(), EventError> {
         match message {
             WireEvent::Launch { salt, options } => {
                 let NamedSettings { settings, names } = settings_from_options(&options)?;
                 let scheduler = Scheduler::new(settings, salt);
-                self.replicas.insert(replica_id, Replica { scheduler, names });
+                self.replicas.insert(replica_id, SimulatedReplica { scheduler, names });
                 events.clear();
             }
             WireEvent::Destroy {} => {
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -18,7 +18,7 @@
     UnknownName(#[from] UnknownName),
     /// The session or the prompt prefix is neither a string nor absent.
     #[error("{key}: expected a string or 0, found {found}")]
-    NotText {
+    InvalidCacheKey {
         /// The JSON key.
         key: &'static str,
         /// The value of that key.
@@ -26,7 +26,7 @@
     },
     /// The tenant is neither a string nor absent.
     #[error("clientGroup: expected a string or 0, found {found}")]
-    NotTenantName {
+    InvalidTenant {
         /// The value of `clientGroup`.
         found: Value,
     },
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -13,4 +13,4 @@
 
 pub use adapter::Adapter;
 pub use error::{BatchError, EventError};
-pub use translate::action_text;
+pub use translate::action_to_json;
--- a/src/simulator/translate.rs
+++ b/src/simulator/translate.rs
@@ -38,7 +38,7 @@
                 request: RequestId(request),
                 attempt: AttemptId(attempt),
                 endpoint: EndpointId(endpoint),
-                outcome: outcome(&status, info),
+                outcome: outcome_from_wire(&status, info),
                 is_final,
                 cached_tokens: info,
                 elapsed: micros_from_millis(elapsed_ms),
@@ -49,7 +49,7 @@
         WireEvent::Reminder { token } => Event::TimerFired(token),
         WireEvent::StatusBack { endpoint, status, load_report } => Event::HealthChecked {
             endpoint: EndpointId(endpoint),
-            outcome: outcome(&status, 0.0),
+            outcome: outcome_from_wire(&status, 0.0),
             load_report: load_report.as_ref().map(load_report_from_wire),
         },
     };
@@ -104,7 +104,7 @@
         None | Some(Value::Null) => Ok(None),
         Some(Value::Number(number)) if number.as_u64() == Some(0) => Ok(None),
         Some(Value::String(name)) => Ok(Some(names.tenant_id(name)?)),
-        Some(found) => Err(EventError::NotTenantName { found: found.clone() }),
+        Some(found) => Err(EventError::InvalidTenant { found: found.clone() }),
     }
 }
 
@@ -115,7 +115,7 @@
         Some(Value::Number(number)) if number.as_u64() == Some(0) => Ok(None),
         Some(Value::String(text)) if text.is_empty() => Ok(None),
         Some(Value::String(text)) => Ok(Some(CacheKey(xxh3_64(text.as_bytes())))),
-        Some(found) => Err(EventError::NotText { key, found: found.clone() }),
+        Some(found) => Err(EventError::InvalidCacheKey { key, found: found.clone() }),
     }
 }
 
@@ -127,7 +127,7 @@
     }
 }
 
-fn outcome(status: &WireOutcome, info: f64) -> Outcome {
+fn outcome_from_wire(status: &WireOutcome, info: f64) -> Outcome {
     match status {
         WireOutcome::Completed => Outcome::Completed,
         WireOutcome::Error => Outcome::Error,
@@ -188,6 +188,6 @@
 /// # Errors
 ///
 /// Returns an error if the command cannot be serialized.
-pub fn action_text(action: Action) -> Result<String, serde_json::Error> {
+pub fn action_to_json(action: Action) -> Result<String, serde_json::Error> {
     serde_json::to_string(&command_from_action(action))
 }
--- a/tests/common/connection.rs
+++ b/tests/common/connection.rs
@@ -12,7 +12,7 @@
 /// Time within which a closed socket resets the connection. The router's lingering close reads for longer than this.
 const RESET_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of unread bytes in a failure message.
-const MAX_SHOWN_BYTES: usize = 1_000;
+const MAX_PREVIEW_BYTES: usize = 1_000;
 
 /// A blocking connection with a buffer for bytes that have been received but not consumed.
 pub(crate) struct Connection {
@@ -101,7 +101,7 @@
 
     /// Returns the start of the unread bytes for failure messages.
     fn unread_preview(&self) -> String {
-        String::from_utf8_lossy(&self.unread[..self.unread.len().min(MAX_SHOWN_BYTES)]).into_owned()
+        String::from_utf8_lossy(&self.unread[..self.unread.len().min(MAX_PREVIEW_BYTES)]).into_owned()
     }
 
     /// Reads one message: the head, and a body of the length in `Content-Length`.
@@ -159,8 +159,8 @@
 
     /// Returns the length of the peer's receive queue. The peer is on this machine.
     pub(crate) fn unread_by_peer(&self) -> usize {
-        let peer = table_address(self.socket.peer_addr().expect("failed to get the peer address"));
-        let own = table_address(self.socket.local_addr().expect("failed to get the local address"));
+        let peer = proc_net_address(self.socket.peer_addr().expect("failed to get the peer address"));
+        let own = proc_net_address(self.socket.local_addr().expect("failed to get the local address"));
         let table = std::fs::read_to_string("/proc/net/tcp").expect("failed to read /proc/net/tcp");
         let line = table.lines().find(|line| line.contains(&format!("{peer} {own}")));
         let queues = line.and_then(|line| line.split_whitespace().nth(4)).unwrap_or("0:0");
@@ -175,7 +175,7 @@
 }
 
 /// Formats an address as in `/proc/net/tcp`.
-fn table_address(address: SocketAddr) -> String {
+fn proc_net_address(address: SocketAddr) -> String {
     match address {
         SocketAddr::V4(v4) => format!("{:08X}:{:04X}", u32::from(*v4.ip()).swap_bytes(), v4.port()),
         SocketAddr::V6(_) => panic!("IPv6 is not supported"),
--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -67,8 +67,8 @@
 }
 
 /// A fault that makes this percentage of the calls fail with this error.
-pub(crate) fn failing(call: &str, error: i32, percent: u32) -> String {
-    format!("{call} {error} {percent}")
+pub(crate) fn failing(call: &str, errno: i32, percent: u32) -> String {
+    format!("{call} {errno} {percent}")
 }
 
 /// A fault that shifts the wall clock by this many seconds.
--- a/tests/common/router_process.rs
+++ b/tests/common/router_process.rs
@@ -24,7 +24,7 @@
 pub(crate) struct RouterProcess {
     child: Child,
     log: Receiver<String>,
-    seen_lines: Vec<String>,
+    log_lines: Vec<String>,
     folder: PathBuf,
     started_at: Instant,
 }
@@ -38,27 +38,27 @@
         let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().expect("stderr is not piped")).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        RouterProcess { child, log, seen_lines: Vec::new(), folder: folder(base), started_at: Instant::now() }
+        RouterProcess { child, log, log_lines: Vec::new(), folder: folder(base), started_at: Instant::now() }
     }
 
     /// Waits for a log line that contains this text. Returns at once if there has been one.
-    pub(crate) fn wait_for_log(&mut self, part: &str) {
+    pub(crate) fn wait_for_log(&mut self, text: &str) {
         let deadline = Instant::now() + PATIENCE;
-        while !self.seen_lines.iter().any(|line| line.contains(part)) {
+        while !self.log_lines.iter().any(|line| line.contains(text)) {
             let line = self.log.recv_timeout(deadline.saturating_duration_since(Instant::now()));
-            self.seen_lines
-                .push(line.unwrap_or_else(|_| panic!("\"{part}\" not found in log {:#?}", self.seen_lines)));
+            self.log_lines
+                .push(line.unwrap_or_else(|_| panic!("\"{text}\" not found in log {:#?}", self.log_lines)));
         }
     }
 
     /// Returns whether no log line contains this text yet. Panics if that is still so [`PATIENCE`] after the start.
-    pub(crate) fn has_not_logged(&mut self, part: &str) -> bool {
-        self.seen_lines.extend(self.log.try_iter());
-        let logged = self.seen_lines.iter().any(|line| line.contains(part));
+    pub(crate) fn has_not_logged(&mut self, text: &str) -> bool {
+        self.log_lines.extend(self.log.try_iter());
+        let logged = self.log_lines.iter().any(|line| line.contains(text));
         assert!(
             logged || self.started_at.elapsed() < PATIENCE,
-            "\"{part}\" not found in log {:#?}",
-            self.seen_lines
+            "\"{text}\" not found in log {:#?}",
+            self.log_lines
         );
         !logged
     }
@@ -66,9 +66,9 @@
     /// Sends a signal, named without `SIG` as in `TERM`.
     pub(crate) fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        let killed =
+        let status =
             Command::new("kill").args([&format!("-{name}"), &pid]).status().expect("failed to run kill");
-        assert!(killed.success());
+        assert!(status.success());
     }
 
     pub(crate) fn is_running(&mut self) -> bool {
@@ -84,11 +84,11 @@
     /// Waits for the router to exit as expected, and returns the log.
     pub(crate) fn wait_for_exit(&mut self, expected: ExpectedExit) -> String {
         let status = self.child.wait().expect("failed to wait for the exit");
-        self.seen_lines.extend(self.log.iter());
+        self.log_lines.extend(self.log.iter());
         let expects_success = expected == ExpectedExit::Success;
-        assert_eq!(status.success(), expects_success, "{status}: {:#?}", self.seen_lines);
+        assert_eq!(status.success(), expects_success, "{status}: {:#?}", self.log_lines);
         let _ = std::fs::remove_dir_all(&self.folder);
-        self.seen_lines.join("\n")
+        self.log_lines.join("\n")
     }
 }
 
@@ -117,8 +117,8 @@
 ) -> RunningRouter {
     let mut discovery = DiscoveryStub::start(base);
     let path = configuration(base, replacements);
-    let usual: [(&str, &Path); 2] = [("LB_CONFIG", &path), ("RUST_LOG", "debug".as_ref())];
-    let mut process = RouterProcess::start(base, &[], &[&usual, variables].concat());
+    let default_variables: [(&str, &Path); 2] = [("LB_CONFIG", &path), ("RUST_LOG", "debug".as_ref())];
+    let mut process = RouterProcess::start(base, &[], &[&default_variables, variables].concat());
     let entries: Vec<_> = endpoints.iter().map(|name| endpoint_entry(base, name, "Ready")).collect();
     discovery.serve_snapshot(&entries);
     let watch = discovery.open_watch();
--- a/tests/common/scheduler_harness.rs
+++ b/tests/common/scheduler_harness.rs
@@ -13,7 +13,7 @@
 /// ID of the decode endpoint in most tests.
 pub(crate) const DECODE: u32 = 10;
 /// Time at which a harness starts.
-const START: Micros = 100 * SECOND;
+const START_TIME: Micros = 100 * SECOND;
 /// Seed of the scheduler if the test does not set one.
 const DEFAULT_SEED: u64 = 5;
 /// Duration of an attempt if the test does not set one.
@@ -109,7 +109,7 @@
 
     /// As [`Self::new`], with a seed. The replicas of a fleet have different seeds.
     pub(crate) fn with_seed(settings: Settings, seed: u64, endpoints: &[EndpointUpdate]) -> Self {
-        let mut harness = SchedulerHarness { scheduler: Scheduler::new(settings, seed), now: START };
+        let mut harness = SchedulerHarness { scheduler: Scheduler::new(settings, seed), now: START_TIME };
         harness.receive_snapshot(endpoints);
         harness
     }
--- a/tests/common/script/mod.rs
+++ b/tests/common/script/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::sync::mpsc::{Sender, channel};
 
-use parse::{Api, Setup, Step, TitledStep, steps, write_configuration};
+use parse::{Api, Setup, Step, TitledStep, parse_steps, write_configuration};
 use peer::ScriptPeer;
 
 use super::config_files::{address, endpoint_entry, endpoint_list, path_argument, port};
@@ -19,7 +19,7 @@
 const DISCOVERY_PORT: u32 = 8_500;
 
 /// The state of a running script.
-struct Player {
+struct ScriptRunner {
     base: String,
     api: Api,
     router: RouterProcess,
@@ -30,29 +30,29 @@
 
 /// Runs one script. Its first line names the API and the endpoints: `platform r1 w1` or `chat s1 s2`.
 pub(crate) fn play(script: &str) {
-    let mut player = Player::start(&Setup::parse(script));
-    for step in steps(script, &player.base) {
-        player.perform(&step);
+    let mut runner = ScriptRunner::start(&Setup::parse(script));
+    for step in parse_steps(script, &runner.base) {
+        runner.perform(&step);
     }
-    player.finish();
+    runner.finish();
 }
 
-impl Player {
+impl ScriptRunner {
     fn start(setup: &Setup<'_>) -> Self {
         let base = address();
-        let peers = listening_peers(&base, setup);
-        let endpoint_changes = if setup.scripts_discovery() {
+        let peers = start_listening_peers(&base, setup);
+        let endpoint_changes = if setup.has_scripted_discovery() {
             channel().0
         } else {
             let entry = |name: &&str| endpoint_entry(&base, name.trim_start_matches('!'), "Ready");
             serve_endpoint_list(&base, &setup.names.iter().map(entry).collect::<Vec<_>>())
         };
         let router = start_router(&base, setup);
-        Player { base, api: setup.api, router, endpoint_changes, peers, expected_counters: Vec::new() }
+        ScriptRunner { base, api: setup.api, router, endpoint_changes, peers, expected_counters: Vec::new() }
     }
 
-    fn perform(&mut self, titled: &TitledStep) {
-        match &titled.step {
+    fn perform(&mut self, titled_step: &TitledStep) {
+        match &titled_step.step {
             Step::Signal(name) => self.router.signal(name),
             Step::WaitForLog(part) => self.router.wait_for_log(part),
             Step::Configure(configuration) => write_configuration(&self.base, configuration),
@@ -65,7 +65,7 @@
             Step::Peer { name, action } => {
                 let router_address = format!("{}:{}", self.base, self.api.port());
                 let peer = self.peers.entry(name.clone()).or_insert_with(ScriptPeer::client);
-                peer.perform(action, &router_address, &titled.title);
+                peer.perform(action, &router_address, &titled_step.title);
             }
             Step::ExpectCounters(counters) => self.expected_counters.clone_from(counters),
         }
@@ -89,7 +89,7 @@
 }
 
 /// Starts the endpoints of a script that listen, and discovery if it is a peer in the script.
-fn listening_peers(base: &str, setup: &Setup<'_>) -> BTreeMap<String, ScriptPeer> {
+fn start_listening_peers(base: &str, setup: &Setup<'_>) -> BTreeMap<String, ScriptPeer> {
     let names = setup.names.iter().filter(|name| !name.starts_with('!'));
     let start = |name: &&str| {
         let port = if *name == "d" { DISCOVERY_PORT } else { port(name) };
@@ -109,7 +109,7 @@
     };
     router.wait_for_log(match setup.api {
         Api::Chat => "listening api=\"chat\"",
-        _ if setup.scripts_discovery() => "listening api=\"platform\"",
+        _ if setup.has_scripted_discovery() => "listening api=\"platform\"",
         _ => "ready endpoint_list=\"discovery\"",
     });
     router
--- a/tests/common/script/parse.rs
+++ b/tests/common/script/parse.rs
@@ -113,22 +113,22 @@
     }
 
     /// Whether discovery is a peer in the script.
-    pub(super) fn scripts_discovery(&self) -> bool {
+    pub(super) fn has_scripted_discovery(&self) -> bool {
         self.names.contains(&"d")
     }
 }
 
 /// Parses the steps of a script for a router at this address.
-pub(super) fn steps(script: &str, base: &str) -> Vec<TitledStep> {
+pub(super) fn parse_steps(script: &str, base: &str) -> Vec<TitledStep> {
     let templates = sections(include_str!("../../exchanges/templates.txt"));
-    let read = |(index, section): (usize, &Section)| {
+    let parse_section = |(index, section): (usize, &Section)| {
         let title = format!("step {} ({})", index + 1, section.heading);
         let lines = expand(&section.lines, &templates);
         let lines: Vec<_> = lines.iter().map(|line| line.replace(BASE_PLACEHOLDER, base)).collect();
         let step = parse_step(&section.heading, &lines, &title);
         TitledStep { title, step }
     };
-    sections(script).iter().enumerate().map(read).collect()
+    sections(script).iter().enumerate().map(parse_section).collect()
 }
 
 /// Writes the configuration that a step specifies.
@@ -164,12 +164,12 @@
     let Some(call) = line.strip_prefix('@') else { return vec![line.to_owned()] };
     let words: Vec<_> = call.split(' ').collect();
     let template = templates.iter().find(|template| template.heading == words[0]).expect("unknown template");
-    let fill = |template_line: &String| {
+    let substitute = |template_line: &String| {
         let arguments = words.iter().enumerate().skip(1);
         arguments
             .fold(template_line.clone(), |text, (number, word)| text.replace(&format!("${number}"), word))
     };
-    template.lines.iter().map(fill).collect()
+    template.lines.iter().map(substitute).collect()
 }
 
 fn parse_step(heading: &str, lines: &[String], title: &str) -> Step {
--- a/tests/common/script/peer.rs
+++ b/tests/common/script/peer.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 
 use super::parse::PeerAction;
-use super::pattern::matches;
+use super::pattern::matches_pattern;
 use crate::common::router_process::PATIENCE;
 
 enum PeerEvent {
@@ -30,7 +30,7 @@
     current: usize,
 }
 
-fn forward_received(mut socket: TcpStream, connection: usize, sender: Sender<PeerEvent>) {
+fn spawn_reader(mut socket: TcpStream, connection: usize, sender: Sender<PeerEvent>) {
     std::thread::spawn(move || {
         let mut buffer = [0; 65_536];
         while let Ok(length @ 1..) = socket.read(&mut buffer) {
@@ -100,7 +100,7 @@
     fn open(&mut self, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
         let index = self.connections.len();
-        forward_received(socket.try_clone().expect("failed to clone the socket"), index, self.sender.clone());
+        spawn_reader(socket.try_clone().expect("failed to clone the socket"), index, self.sender.clone());
         self.current = index;
         self.connections.push(PeerConnection { socket: Some(socket), ..PeerConnection::default() });
     }
@@ -135,7 +135,7 @@
     }
 
     fn connection_matching(&self, pattern: &[u8]) -> Option<usize> {
-        self.connections.iter().position(|connection| matches(pattern, &connection.unread))
+        self.connections.iter().position(|connection| matches_pattern(pattern, &connection.unread))
     }
 
     fn close(&mut self) {
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Stdio};
 
 use inference_router::scheduler::{Action, AttemptId, EndpointId, RequestId};
-use inference_router::simulator::{Adapter, action_text};
+use inference_router::simulator::{Adapter, action_to_json};
 
 const SETTINGS: &str = r#"{"accounts":[{"name":"t1","quotaPerS":10.0,"share":1.0}],"balancers":2,"failureDomains":["z1"],
 "familyInfo":{"ahead":false,"aimUsPer1000PromptTokens":[40000.0],"farPrice":0.03,"localRead":false,
@@ -41,7 +41,7 @@
 }
 
 /// Returns the message of the error that the batch causes.
-fn error_text(mut adapter: Adapter, batch: &str) -> String {
+fn error_message(mut adapter: Adapter, batch: &str) -> String {
     adapter.handle_batch(batch.as_bytes()).unwrap_err().to_string()
 }
 
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn malformed_events_are_reported_with_their_fault() {
-    for (event, fault) in [
+fn malformed_events_are_reported_with_their_cause() {
+    for (event, cause) in [
         (r#"{"t":"call","handle":9}"#, "missing field"),
         (r#"{"t":"call","handle":"x"}"#, "invalid type"),
         (r#"{"t":"reply","handle":9,"host":1,"took":1.0,"stateCode":"fine"}"#, "unknown variant `fine`"),
@@ -77,20 +77,20 @@
             "unknown class \"c9\"",
         ),
     ] {
-        let error = error_text(launched_adapter(), &batch(1001.0, event));
-        assert!(error.contains(fault), "{error}");
+        let error = error_message(launched_adapter(), &batch(1001.0, event));
+        assert!(error.contains(cause), "{error}");
     }
-    let error = error_text(launched_adapter(), "not JSON");
+    let error = error_message(launched_adapter(), "not JSON");
     assert!(error.contains("expected"), "{error}");
 }
 
 #[test]
-fn contradictory_settings_are_reported_with_their_fault() {
+fn inconsistent_settings_are_reported_with_their_cause() {
     let no_prefill_kind = SETTINGS.replace(r#"["read","write"]"#, r#"["write","write"]"#);
-    let kind_error = error_text(Adapter::default(), &launch_batch(&no_prefill_kind));
+    let kind_error = error_message(Adapter::default(), &launch_batch(&no_prefill_kind));
     assert!(kind_error.contains("no kind reads prompts"), "{kind_error}");
     let no_inter_token_objective = SETTINGS.replace(r#""tokenAim":[60.0]"#, r#""tokenAim":[]"#);
-    let class_error = error_text(Adapter::default(), &launch_batch(&no_inter_token_objective));
+    let class_error = error_message(Adapter::default(), &launch_batch(&no_inter_token_objective));
     assert!(class_error.contains("tokenAim has no entry"), "{class_error}");
 }
 
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn every_action_has_its_text() {
+fn every_action_is_serialized_as_its_command() {
     let request = RequestId(9);
     let endpoint = EndpointId(2);
     for (action, text) in [
@@ -136,6 +136,6 @@
         (Action::SetTimer { token: 7, after: 5_000 }, r#"{"t":"wakeMe","nonce":7,"after":5.0}"#),
         (Action::Log("two".into()), r#"{"t":"noteDown","bodyText":"two"}"#),
     ] {
-        assert_eq!(action_text(action).unwrap(), text);
+        assert_eq!(action_to_json(action).unwrap(), text);
     }
 }
