--- a/tests/common/connection.rs
+++ b/tests/common/connection.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use super::router_process::PATIENCE;
+use super::router_process::WAIT_TIMEOUT;
 
 /// Interval between checks of a state for which there is no notification.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -46,7 +46,7 @@
     /// Wraps a connected socket.
     pub(crate) fn new(socket: TcpStream) -> Self {
         socket.set_nodelay(true).expect("failed to set TCP_NODELAY");
-        socket.set_read_timeout(Some(PATIENCE)).expect("failed to set the read timeout");
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("failed to set the read timeout");
         Connection { socket, unread: Vec::new() }
     }
 
--- a/tests/common/router_process.rs
+++ b/tests/common/router_process.rs
@@ -10,7 +10,7 @@
 use super::discovery_stub::{DiscoveryStub, Watch};
 
 /// Limit on every wait in the tests, far longer than any expected wait: only a failing test reaches it.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExpectedExit {
@@ -43,7 +43,7 @@
 
     /// Waits for a log line that contains this text. Returns at once if there has been one.
     pub(crate) fn wait_for_log(&mut self, text: &str) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !self.log_lines.iter().any(|line| line.contains(text)) {
             let line = self.log.recv_timeout(deadline.saturating_duration_since(Instant::now()));
             self.log_lines
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Returns whether no log line contains this text yet. Panics if that is still so [`PATIENCE`] after the start.
+    /// Returns whether no log line contains this text yet. Panics if that is still so [`WAIT_TIMEOUT`] after the start.
     pub(crate) fn has_not_logged(&mut self, text: &str) -> bool {
         self.log_lines.extend(self.log.try_iter());
         let logged = self.log_lines.iter().any(|line| line.contains(text));
         assert!(
-            logged || self.started_at.elapsed() < PATIENCE,
+            logged || self.started_at.elapsed() < WAIT_TIMEOUT,
             "\"{text}\" not found in log {:#?}",
             self.log_lines
         );
--- a/tests/common/script/peer.rs
+++ b/tests/common/script/peer.rs
@@ -6,7 +6,7 @@
 
 use super::parse::PeerAction;
 use super::pattern::matches_pattern;
-use crate::common::router_process::PATIENCE;
+use crate::common::router_process::WAIT_TIMEOUT;
 
 enum PeerEvent {
     Opened(TcpStream),
@@ -107,7 +107,7 @@
 
     /// Waits for one event and handles it. Returns false on a time-out.
     fn wait_for_event(&mut self) -> bool {
-        let Ok(event) = self.events.recv_timeout(PATIENCE) else { return false };
+        let Ok(event) = self.events.recv_timeout(WAIT_TIMEOUT) else { return false };
         self.handle(event);
         true
     }
--- a/tests/common/stub_listener.rs
+++ b/tests/common/stub_listener.rs
@@ -6,7 +6,7 @@
 
 use super::config_files::port;
 use super::connection::{Connection, POLL_INTERVAL};
-use super::router_process::PATIENCE;
+use super::router_process::WAIT_TIMEOUT;
 
 /// How long to wait for a connection that the router does not always open.
 const OPTIONAL_CONNECTION_TIMEOUT: Duration = Duration::from_millis(20);
@@ -33,7 +33,7 @@
 
     /// Waits for the next connection to any of the listeners, and also returns the index of its listener.
     pub(crate) fn accept_any(listeners: &[&StubListener]) -> (usize, Connection) {
-        StubListener::accept_within(listeners, PATIENCE).expect("no connection within the time limit")
+        StubListener::accept_within(listeners, WAIT_TIMEOUT).expect("no connection within the time limit")
     }
 
     /// Returns the next connection to any of the listeners if there is one within [`OPTIONAL_CONNECTION_TIMEOUT`].
--- a/tests/paused_process.rs
+++ b/tests/paused_process.rs
@@ -8,7 +8,7 @@
 use common::config_files::{address, configuration, endpoint_entry, endpoint_list, file};
 use common::connection::connect_client;
 use common::messages::{PREFILLED, READINESS_REQUEST, STREAM_END, STREAM_START, request};
-use common::router_process::{PATIENCE, RouterProcess, start_router};
+use common::router_process::{RouterProcess, WAIT_TIMEOUT, start_router};
 use common::stub_listener::StubListener;
 
 /// How long the process is stopped: far longer than any attempt may begin after its client has disconnected.
@@ -99,6 +99,10 @@
     decode.send(STREAM_START);
     decode.send(STREAM_END);
     client.read_until("0\r\n\r\n");
-    assert!(started_at.elapsed() < PATIENCE / 10, "{:?} from the start to the answer", started_at.elapsed());
+    assert!(
+        started_at.elapsed() < WAIT_TIMEOUT / 10,
+        "{:?} from the start to the answer",
+        started_at.elapsed()
+    );
     router.terminate();
 }
