--- a/tests/common/script/mod.rs
+++ b/tests/common/script/mod.rs
@@ -29,7 +29,7 @@
 }
 
 /// Runs one script. Its first line names the API and the endpoints: `platform r1 w1` or `chat s1 s2`.
-pub(crate) fn play(script: &str) {
+pub(crate) fn run_script(script: &str) {
     let mut runner = ScriptRunner::start(&Setup::parse(script));
     for step in parse_steps(script, &runner.base) {
         runner.perform(&step);
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -6,7 +6,7 @@
     ($($name:ident)*) => {$(
         #[test]
         fn $name() {
-            common::script::play(include_str!(concat!("exchanges/", stringify!($name), ".txt")));
+            common::script::run_script(include_str!(concat!("exchanges/", stringify!($name), ".txt")));
         }
     )*};
 }
