--- a/tests/both_apis.rs
+++ b/tests/both_apis.rs
@@ -9,7 +9,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::config_files::{address, chat_config, endpoint_entry, path_argument, platform_config, port};
+use common::config_files::{
+    chat_config, endpoint_entry, loopback_address, path_argument, platform_config, port,
+};
 use common::discovery_stub::serve_endpoint_list;
 use common::router_process::RouterProcess;
 
@@ -229,7 +231,7 @@
 
 #[test]
 fn both_apis_at_once_give_one_answer_each_and_repeat_no_route_save() {
-    let base = address();
+    let base = loopback_address();
     let arrivals = ArrivalCounts::default();
     for name in ["r1", "w1", "w2", "s1", "s2"] {
         start_endpoint_stub(&base, name, arrivals.clone());
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::config_files::{address, endpoint_entry, endpoint_list};
+use common::config_files::{endpoint_entry, endpoint_list, loopback_address};
 use common::connection::connect_client;
 use common::messages::{PREFILLED, request};
 use common::router_process::start_router;
@@ -50,7 +50,7 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnects_while_its_request_is_queued() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     // No decode endpoint is known, so the request waits.
     let mut router = start_router(&base, &["r1"], &[]);
--- a/tests/common/config_files.rs
+++ b/tests/common/config_files.rs
@@ -7,7 +7,7 @@
 const DISCOVERY_PORT: u32 = 8_500;
 
 /// Returns a loopback address that no other test uses. It is the `base` of the other functions.
-pub(crate) fn address() -> String {
+pub(crate) fn loopback_address() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let pid = std::process::id();
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/tests/common/script/mod.rs
+++ b/tests/common/script/mod.rs
@@ -11,7 +11,7 @@
 use parse::{Api, Setup, Step, TitledStep, parse_steps, write_configuration};
 use peer::ScriptPeer;
 
-use super::config_files::{address, endpoint_entry, endpoint_list, path_argument, port};
+use super::config_files::{endpoint_entry, endpoint_list, loopback_address, path_argument, port};
 use super::discovery_stub::serve_endpoint_list;
 use super::router_process::RouterProcess;
 
@@ -39,7 +39,7 @@
 
 impl ScriptRunner {
     fn start(setup: &Setup<'_>) -> Self {
-        let base = address();
+        let base = loopback_address();
         let peers = start_listening_peers(&base, setup);
         let endpoint_changes = if setup.has_scripted_discovery() {
             channel().0
--- a/tests/common/stubbed_router.rs
+++ b/tests/common/stubbed_router.rs
@@ -1,6 +1,6 @@
 //! A router with one prefill stub and one decode stub, the setup of most tests that use sockets.
 
-use super::config_files::address;
+use super::config_files::loopback_address;
 use super::connection::{Connection, connect_client};
 use super::discovery_stub::{DiscoveryStub, Watch};
 use super::messages::{PREFILLED, STREAM_END, STREAM_START};
@@ -40,7 +40,7 @@
 impl StubbedRouter {
     /// Starts the router with text replacements in its configuration.
     pub(crate) fn start(replacements: &[(&str, &str)]) -> Self {
-        let base = address();
+        let base = loopback_address();
         let prefill_stub = StubListener::endpoint(&base, "r1");
         let decode_stub = StubListener::endpoint(&base, "w1");
         let RunningRouter { process, discovery, watch } = start_router(&base, &["r1", "w1"], replacements);
--- a/tests/connection_races.rs
+++ b/tests/connection_races.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::config_files::address;
+use common::config_files::loopback_address;
 use common::connection::connect_client;
 use common::messages::{READINESS_REQUEST, STREAM_END, request};
 use common::router_process::start_router;
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_rejection_whose_body_never_ends_is_followed_by_the_next_attempt_at_once() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stubs = [StubListener::endpoint(&base, "w1"), StubListener::endpoint(&base, "w2")];
     let mut router = start_router(&base, &["r1", "w1", "w2"], &[]);
@@ -113,7 +113,7 @@
 
 #[test]
 fn the_timeout_of_a_client_that_writes_slowly_runs_from_its_last_byte() {
-    let base = address();
+    let base = loopback_address();
     let mut router = start_router(&base, &["r1", "w1"], &[]);
     let mut slow = connect_client(&base);
     let text = request("t1", "climb-query", 6_000);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -7,7 +7,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-use common::config_files::{address, endpoint_entry, endpoint_list, file, platform_config};
+use common::config_files::{endpoint_entry, endpoint_list, file, loopback_address, platform_config};
 use common::router_process::RouterProcess;
 use inference_router::discovery::backoff::Backoff;
 
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_start_with_a_known_endpoint_list_makes_one_call_for_its_changes_and_waits_for_it() {
-    let base = address();
+    let base = loopback_address();
     let listener = TcpListener::bind(format!("{base}:8500")).expect("a free address");
     let config = platform_config(&base);
     let text = std::fs::read_to_string(&config).expect("the file just written");
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{address, endpoint_entry, endpoint_list, file, folder, port};
+use common::config_files::{endpoint_entry, endpoint_list, file, folder, loopback_address, port};
 use common::connection::connect_client;
 use common::discovery_stub::DiscoveryStub;
 use common::messages::{READINESS_REQUEST, request};
@@ -23,7 +23,7 @@
 
 #[test]
 fn an_endpoint_list_that_is_cut_anywhere_is_applied_on_the_same_watch() {
-    let base = address();
+    let base = loopback_address();
     let mut router = start_router(&base, &["w1"], &[]);
     let text = endpoint_list(2, false, &[endpoint_entry(&base, "w1", "Terminating")]) + "\n";
     for piece in ["\"weight\":1.", "\"version\":2", "\"full\":fal", "Terminating", "\"id\":\"w"] {
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_malformed_entry_does_not_affect_other_entries() {
-    let base = address();
+    let base = loopback_address();
     let mut router = start_router(&base, &["r1", "w1", "w2"], &[]);
     let unknown = endpoint_entry(&base, "w1", "Rebooting");
     let nowhere = endpoint_entry(&base, "r1", "Ready").replace(&format!("\"{base}:"), "\"nowhere:");
@@ -57,7 +57,7 @@
 
 #[test]
 fn an_endpoint_whose_entry_is_malformed_gets_nothing_new() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let mut router = start_router(&base, &["r1", "w1"], &[]);
     let unknown = endpoint_entry(&base, "r1", "Rebooting");
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_configuration_that_is_half_written_at_sighup_is_read_once_it_is_complete() {
-    let base = address();
+    let base = loopback_address();
     let mut router = start_router(&base, &["w1"], &[]);
     let path = folder(&base).join("config.json");
     let moved = format!("{base}:{}", port("moved"));
--- a/tests/paused_process.rs
+++ b/tests/paused_process.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{address, configuration, endpoint_entry, endpoint_list, file};
+use common::config_files::{configuration, endpoint_entry, endpoint_list, file, loopback_address};
 use common::connection::connect_client;
 use common::messages::{PREFILLED, READINESS_REQUEST, STREAM_END, STREAM_START, request};
 use common::router_process::{RouterProcess, WAIT_TIMEOUT, start_router};
@@ -23,7 +23,7 @@
 
 /// Pauses the process while a client sends a request and disconnects; nothing of it may be forwarded afterwards.
 fn disconnect_during_pause(id: &str, client_connects: ClientConnects) {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router(&base, &["r1", "w1"], &[]);
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_request_with_hardly_any_time_left_is_rejected_at_once() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let _decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router(&base, &["r1", "w1"], &[]);
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_router_that_starts_with_a_known_endpoint_list_serves_while_discovery_is_silent() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let _silent = StubListener::bind(&format!("{base}:8500"));
--- a/tests/silent_endpoints.rs
+++ b/tests/silent_endpoints.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::config_files::address;
+use common::config_files::loopback_address;
 use common::connection::{Connection, connect_client};
 use common::messages::{PREFILLED, STREAM_END, STREAM_START, request};
 use common::router_process::start_router;
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_reservation_is_released_when_endpoints_answer_again_after_all_were_silent() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let names = ["w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"];
     let decode_stubs = names.map(|name| StubListener::endpoint(&base, name));
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_prefilled_request_is_not_sent_over_a_connection_that_may_have_fallen_silent() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router(&base, &["r1", "w1"], &[]);
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -88,7 +88,7 @@
 }
 
 fn start_endpoints(state: &RunState) -> Vec<Rc<EndpointStub>> {
-    let base = common::config_files::address();
+    let base = common::config_files::loopback_address();
     let prefill_names = (0..PREFILL_ENDPOINTS).map(|number| (Role::Prefill, format!("r{number}")));
     let decode_names = (0..DECODE_ENDPOINTS).map(|number| (Role::Decode, format!("w{number}")));
     let mut endpoints = Vec::new();
--- a/tests/soak/replica.rs
+++ b/tests/soak/replica.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use super::common::config_files::{address, configuration, file};
+use super::common::config_files::{configuration, file, loopback_address};
 use super::common::faults::Faults;
 use super::discovery::{DiscoveryStub, ListKind, list_line};
 use super::run_state::{Lifecycle, ListedEndpoint, RunState};
@@ -52,7 +52,7 @@
 impl ReplicaProcess {
     /// A replica, not started yet, among `replica_count` ones.
     pub(crate) fn new(state: &RunState, number: usize, replica_count: usize) -> Rc<Self> {
-        let base = address();
+        let base = loopback_address();
         let faults = Faults::new(&base, &[]);
         let log = file(&base, "log", "");
         Rc::new(ReplicaProcess {
--- a/tests/socket_limits.rs
+++ b/tests/socket_limits.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::config_files::{address, chat_config, platform_config};
+use common::config_files::{chat_config, loopback_address, platform_config};
 use inference_router::config::{ChatConfig, PlatformConfig};
 use inference_router::scheduler::{EndpointId, Role};
 use inference_router::upstream::connection_pool::{ConnectionPool, EndpointAddress};
 
 #[test]
 fn both_apis_together_stay_under_the_limit_on_sockets() {
-    let base = address();
+    let base = loopback_address();
     let mut platform = PlatformConfig::read(&platform_config(&base)).expect("a good configuration");
     let chat = ChatConfig::read(&chat_config(&base, &["s1"], "")).expect("a good operator's file");
     let chat_sockets = chat.max_clients + chat.pool.max_connections;
@@ -26,7 +26,7 @@
 
 #[test]
 fn nothing_is_kept_of_a_removed_endpoint() {
-    let platform = PlatformConfig::read(&platform_config(&address())).expect("a good configuration");
+    let platform = PlatformConfig::read(&platform_config(&loopback_address())).expect("a good configuration");
     let pool = ConnectionPool::new(platform.pool, Default::default());
     let addr = platform.listen;
     pool.set_address(EndpointId(7), Some(EndpointAddress { addr, role: Role::Prefill, ready: true }));
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-use common::config_files::{address, chat_config, file, path_argument};
+use common::config_files::{chat_config, file, loopback_address, path_argument};
 use common::router_process::{ExpectedExit, RouterProcess};
 use rcgen::{BasicConstraints, CertificateParams, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair, SanType};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -77,7 +77,7 @@
 #[test]
 fn only_allowed_identities_are_served() {
     let (ours, theirs) = (create_authority(), create_authority());
-    let base = address();
+    let base = loopback_address();
     let router_identity = create_identity(&ours, &["spiffe://hanbit.example/croftsill"]);
     file(&base, "svid.pem", &router_identity.pem);
     file(&base, "svid-key.pem", &router_identity.key.serialize_pem());
@@ -119,7 +119,7 @@
 
 #[test]
 fn a_malformed_operator_file_is_reported_in_one_plain_line() {
-    let base = address();
+    let base = loopback_address();
     let assert_fails_with = |arguments: &[&str], part: &str| {
         let mut router = RouterProcess::start(&base, arguments, &[]);
         let log = router.wait_for_exit(ExpectedExit::Failure);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{address, configuration, endpoint_entry, endpoint_list};
+use common::config_files::{configuration, endpoint_entry, endpoint_list, loopback_address};
 use common::connection::{Connection, connect_client};
 use common::faults::{EADDRINUSE, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, Faults, clock_off, failing};
 use common::messages::{PREFILLED, STREAM_END, STREAM_START, request};
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_connect_that_fails_locally_costs_the_request_no_attempt() {
-    let base = address();
+    let base = loopback_address();
     let faults = Faults::new(&base, &[]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
@@ -57,7 +57,7 @@
 
 /// Lets a system call of the start fail for a moment; the start must go on when it works again.
 fn assert_start_survives(fault: String) {
-    let (mut router, faults) = start_with_fault(&address(), fault);
+    let (mut router, faults) = start_with_fault(&loopback_address(), fault);
     std::thread::sleep(FAULT_DURATION);
     assert!(router.is_running(), "it ended");
     faults.set(&[]);
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_router_that_cannot_start_yet_still_exits_at_sigterm() {
-    let (mut router, _faults) = start_with_fault(&address(), failing("bind", EADDRINUSE, 100));
+    let (mut router, _faults) = start_with_fault(&loopback_address(), failing("bind", EADDRINUSE, 100));
     router.wait_for_log("cannot listen yet");
     router.signal("TERM");
     let signalled_at = Instant::now();
@@ -87,7 +87,7 @@
 
 #[test]
 fn requests_are_served_while_calls_fail_transfer_less_and_are_interrupted() {
-    let base = address();
+    let base = loopback_address();
     let faults = Faults::new(&base, &[]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
@@ -124,7 +124,7 @@
 
 #[test]
 fn an_endpoint_whose_start_lies_in_the_future_of_a_slow_clock_warms_up() {
-    let base = address();
+    let base = loopback_address();
     let faults = Faults::new(&base, &[clock_off(-3_600)]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
@@ -142,7 +142,7 @@
 
 #[test]
 fn an_endpoint_that_has_just_started_is_cold_though_the_clock_is_an_hour_ahead() {
-    let base = address();
+    let base = loopback_address();
     let faults = Faults::new(&base, &[clock_off(3_600)]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let slow_start = slow_start_settings(20_000);
--- a/tests/tenants_and_keys.rs
+++ b/tests/tenants_and_keys.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::config_files::{address, endpoint_entry, endpoint_list};
+use common::config_files::{endpoint_entry, endpoint_list, loopback_address};
 use common::connection::{Connection, Message, connect_client};
 use common::messages::{PREFILLED, STREAM_END, STREAM_START, request};
 use common::router_process::start_router;
@@ -22,7 +22,7 @@
 
 #[test]
 fn the_idempotency_key_is_forwarded_with_every_attempt() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router(&base, &["r1", "w1"], &[(NON_IDEMPOTENT, KEYED)]);
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_tenant_beyond_its_quota_waits_for_those_within_theirs() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     // No decode endpoint is known, so the requests are queued, and those within their quota are sent first.
     let mut router = start_router(&base, &["r1"], &[(NO_TENANTS, TENANTS)]);
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_tenant_that_the_settings_do_not_name_is_rejected() {
-    let base = address();
+    let base = loopback_address();
     let router = start_router(&base, &["r1", "w1"], &[(NO_TENANTS, TENANTS)]);
     let mut client = connect_client(&base);
     client.send(&with_header(&request("u1", "climb-query", 6_000), "Tenant: nobody"));
@@ -95,7 +95,7 @@
 
 /// The answer to a request whose body exceeds the memory limit, with parts of the configuration replaced.
 fn response_without_memory(replacements: &[(&str, &str)]) -> Message {
-    let base = address();
+    let base = loopback_address();
     let no_memory = [("\"memory_mb\":192", "\"memory_mb\":0")];
     let router = start_router(&base, &["r1", "w1"], &[&no_memory, replacements].concat());
     let mut client = connect_client(&base);
--- a/tests/watch_races.rs
+++ b/tests/watch_races.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{address, endpoint_entry, endpoint_list, platform_config_with_discovery, port};
+use common::config_files::{
+    endpoint_entry, endpoint_list, loopback_address, platform_config_with_discovery, port,
+};
 use common::connection::connect_client;
 use common::discovery_stub::DiscoveryStub;
 use common::messages::{STREAM_END, request};
@@ -14,7 +16,7 @@
 
 #[test]
 fn a_watch_that_is_reset_or_falls_silent_is_reopened_from_the_known_version() {
-    let base = address();
+    let base = loopback_address();
     let mut router = start_router(&base, &["r1", "w1"], &[]);
     let draining = endpoint_list(7, false, &[endpoint_entry(&base, "w1", "Terminating")]);
     router.watch.send(&(draining + "\n"));
@@ -35,7 +37,7 @@
 
 #[test]
 fn two_watches_that_fall_silent_one_after_the_other_are_replaced_within_six_seconds() {
-    let base = address();
+    let base = loopback_address();
     let mut router = start_router(&base, &["r1", "w1"], &[]);
     router.watch.send("\n");
     let last_line_at = Instant::now();
@@ -51,7 +53,7 @@
 
 #[test]
 fn an_endpoint_list_in_pieces_and_over_several_lines_is_applied() {
-    let base = address();
+    let base = loopback_address();
     let mut router = start_router(&base, &["r1", "w1"], &[]);
     let indented = endpoint_list(2, false, &[endpoint_entry(&base, "w1", "Terminating")])
         .replace(',', ",\n  ")
@@ -74,7 +76,7 @@
 
 #[test]
 fn a_drain_reported_right_after_discovery_moved_is_applied() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let mut router = start_router(&base, &["r1", "w1", "w2"], &[]);
