--- a/tests/common/config_files.rs
+++ b/tests/common/config_files.rs
@@ -20,7 +20,7 @@
 }
 
 /// Writes a file in the test's directory, and returns its path.
-pub(crate) fn file(base: &str, name: &str, text: &str) -> PathBuf {
+pub(crate) fn write_test_file(base: &str, name: &str, text: &str) -> PathBuf {
     let folder = folder(base);
     std::fs::create_dir_all(&folder).expect("failed to create the test directory");
     let path = folder.join(name);
@@ -63,7 +63,7 @@
         r#"{{"name":"n1","listen":"{base}:8081","discovery":"{base}:{discovery_port}","seed":"1f",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"settings":{settings}}}"#
     );
-    file(base, "config.json", &text)
+    write_test_file(base, "config.json", &text)
 }
 
 /// As [`platform_config`], with text replacements: pairs of an old text, which must occur, and a new one.
@@ -74,7 +74,7 @@
         assert!(text.contains(old), "{old} not found in the configuration");
         text = text.replace(old, new);
     }
-    file(base, "config.json", &text)
+    write_test_file(base, "config.json", &text)
 }
 
 /// Writes the operator's file for the chat API of a router at this address, with these endpoints and `more` appended.
@@ -86,5 +86,5 @@
     let section =
         |name: &&str| format!("[[servers]]\nname = \"{name}\"\naddress = \"{base}:{}\"\n", port(name));
     let sections: String = endpoints.iter().map(section).collect();
-    file(base, "chat.toml", &format!("{head}{sections}[[classes]]{tail}\n{more}"))
+    write_test_file(base, "chat.toml", &format!("{head}{sections}[[classes]]{tail}\n{more}"))
 }
--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-use super::config_files::file;
+use super::config_files::write_test_file;
 
 /// Interrupted system call. All error numbers are those of Linux.
 pub(crate) const EINTR: i32 = 4;
@@ -50,7 +50,7 @@
 impl Faults {
     /// Prepares fault injection for the process at this address. Each fault is a line of the control file.
     pub(crate) fn new(base: &str, faults: &[String]) -> Self {
-        let control_file = file(base, "faults", &faults.join("\n"));
+        let control_file = write_test_file(base, "faults", &faults.join("\n"));
         Faults { base: base.to_owned(), library: library(), control_file }
     }
 
@@ -61,7 +61,7 @@
 
     /// Replaces all faults. The file is renamed into place, so that the process never reads a partial one.
     pub(crate) fn set(&self, faults: &[String]) {
-        let next = file(&self.base, "faults.next", &faults.join("\n"));
+        let next = write_test_file(&self.base, "faults.next", &faults.join("\n"));
         std::fs::rename(next, &self.control_file).expect("failed to replace the control file");
     }
 }
--- a/tests/common/script/parse.rs
+++ b/tests/common/script/parse.rs
@@ -4,7 +4,7 @@
 
 use super::pattern::message_bytes;
 use crate::common::config_files::{
-    chat_config, configuration, file, platform_config, platform_config_with_discovery, port,
+    chat_config, configuration, platform_config, platform_config_with_discovery, port, write_test_file,
 };
 
 /// Placeholder for the test's loopback address in a script.
@@ -135,7 +135,7 @@
 pub(super) fn write_configuration(base: &str, configuration: &Configuration) {
     match configuration {
         Configuration::Malformed => {
-            file(base, "config.json", "{\"name\":");
+            write_test_file(base, "config.json", "{\"name\":");
         }
         Configuration::Discovery(name) => {
             platform_config_with_discovery(base, port(name));
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -7,7 +7,9 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-use common::config_files::{endpoint_entry, endpoint_list, file, loopback_address, platform_config};
+use common::config_files::{
+    endpoint_entry, endpoint_list, loopback_address, platform_config, write_test_file,
+};
 use common::router_process::RouterProcess;
 use inference_router::discovery::backoff::Backoff;
 
@@ -41,7 +43,7 @@
     let text = text.replace("\"membershipMode\": \"push\"", "\"membershipMode\": \"ask\"");
     let entry = endpoint_entry(&base, "w1", "Ready");
     let known = format!("\"known\":{},\"settings\"", endpoint_list(41, true, &[entry]));
-    file(&base, "config.json", &text.replace("\"settings\"", &known));
+    write_test_file(&base, "config.json", &text.replace("\"settings\"", &known));
     let mut router = RouterProcess::start(&base, &[], &[("LB_CONFIG", &config)]);
     let mut call = accept_call(&listener);
     assert_eq!(call.request_line, "GET /api/targets?follow=1&since=41 HTTP/1.1");
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{endpoint_entry, endpoint_list, file, folder, loopback_address, port};
+use common::config_files::{endpoint_entry, endpoint_list, folder, loopback_address, port, write_test_file};
 use common::connection::connect_client;
 use common::discovery_stub::DiscoveryStub;
 use common::messages::{READINESS_REQUEST, request};
@@ -106,10 +106,10 @@
     let text =
         std::fs::read_to_string(&path).expect("the configuration").replace(&format!("{base}:8500"), &moved);
     let mut moved_discovery = DiscoveryStub::start_at(&base, "moved");
-    file(&base, "config.json", &text[..text.len() / 2]);
+    write_test_file(&base, "config.json", &text[..text.len() / 2]);
     router.process.signal("HUP");
     router.process.wait_for_log("configuration not readable yet");
-    file(&base, "config.json", &text);
+    write_test_file(&base, "config.json", &text);
     moved_discovery.serve_snapshot(&[endpoint_entry(&base, "w1", "Ready")]);
     let _new_watch = moved_discovery.open_watch();
     router.process.wait_for_log(&format!("discovery moved address={moved}"));
--- a/tests/soak/replica.rs
+++ b/tests/soak/replica.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use super::common::config_files::{configuration, file, loopback_address};
+use super::common::config_files::{configuration, loopback_address, write_test_file};
 use super::common::faults::Faults;
 use super::discovery::{DiscoveryStub, ListKind, list_line};
 use super::run_state::{Lifecycle, ListedEndpoint, RunState};
@@ -54,7 +54,7 @@
     pub(crate) fn new(state: &RunState, number: usize, replica_count: usize) -> Rc<Self> {
         let base = loopback_address();
         let faults = Faults::new(&base, &[]);
-        let log = file(&base, "log", "");
+        let log = write_test_file(&base, "log", "");
         Rc::new(ReplicaProcess {
             state: state.clone(),
             number,
@@ -153,7 +153,7 @@
     pub(crate) fn start(self: &Rc<Self>) {
         let text = self.configuration_text();
         self.record_known_endpoints();
-        let path = file(&self.base, "config.json", &text);
+        let path = write_test_file(&self.base, "config.json", &text);
         let log = OpenOptions::new().append(true).open(&self.log).expect("the log can be opened");
         let mut command = Command::new(env!("CARGO_BIN_EXE_inference-router"));
         command.env("LB_CONFIG", path).env("RUST_LOG", "debug").envs(self.faults.variables());
@@ -274,10 +274,10 @@
         let old_discovery = self.discovery.borrow_mut().take();
         self.start_discovery().await;
         let text = self.configuration_text();
-        file(&self.base, "config.json", &text[..text.len() / 2]);
+        write_test_file(&self.base, "config.json", &text[..text.len() / 2]);
         self.signal("HUP");
         sleep(self.state.draw_milliseconds(0..300)).await;
-        file(&self.base, "config.json", &text);
+        write_test_file(&self.base, "config.json", &text);
         if let Some(old_discovery) = old_discovery {
             old_discovery.close().await;
         }
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-use common::config_files::{chat_config, file, loopback_address, path_argument};
+use common::config_files::{chat_config, loopback_address, path_argument, write_test_file};
 use common::router_process::{ExpectedExit, RouterProcess};
 use rcgen::{BasicConstraints, CertificateParams, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair, SanType};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -79,9 +79,9 @@
     let (ours, theirs) = (create_authority(), create_authority());
     let base = loopback_address();
     let router_identity = create_identity(&ours, &["spiffe://hanbit.example/croftsill"]);
-    file(&base, "svid.pem", &router_identity.pem);
-    file(&base, "svid-key.pem", &router_identity.key.serialize_pem());
-    file(&base, "bundle.pem", &ours.pem);
+    write_test_file(&base, "svid.pem", &router_identity.pem);
+    write_test_file(&base, "svid-key.pem", &router_identity.key.serialize_pem());
+    write_test_file(&base, "bundle.pem", &ours.pem);
     let tls = format!(
         "[tls]\ncertificate = \"svid.pem\"\nkey = \"svid-key.pem\"\ntrust_bundle = \"bundle.pem\"\nallowed_ids = [\"{ALLOWED_ID}\"]\n"
     );
@@ -104,9 +104,9 @@
     assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_err());
     assert!(get_models(&chat_address, &ours, None).is_err());
     // A bundle that is replaced while the router runs applies to the next client; a malformed one is ignored.
-    file(&base, "bundle.pem", "no bundle");
+    write_test_file(&base, "bundle.pem", "no bundle");
     assert!(get_models_as(&ours, &[ALLOWED_ID]).is_ok());
-    file(&base, "bundle.pem", &format!("{}{}", ours.pem, theirs.pem));
+    write_test_file(&base, "bundle.pem", &format!("{}{}", ours.pem, theirs.pem));
     assert!(get_models_as(&theirs, &[ALLOWED_ID]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK")));
     // Without TLS there is no answer either.
     let mut plain = TcpStream::connect(&chat_address).expect("it listens");
@@ -131,11 +131,14 @@
     let no_files = bad_id.replace("spiffe://Bad/", ALLOWED_ID);
     assert_fails_with(&["--chat", path_argument(&chat_config(&base, &["s1"], &no_files))], "/c: ");
     assert_fails_with(&["--chat", path_argument(&chat_config(&base, &["s1"], "[colour]"))], "unknown field");
-    assert_fails_with(&["--chat", path_argument(&file(&base, "odd.toml", "listen = 1"))], "odd.toml: ");
+    assert_fails_with(
+        &["--chat", path_argument(&write_test_file(&base, "odd.toml", "listen = 1"))],
+        "odd.toml: ",
+    );
     assert_fails_with(&["--chat", "/nowhere"], "cannot read /nowhere");
     assert_fails_with(&["--chat"], "usage: ");
     assert_fails_with(&[], "nothing to do");
-    let config = file(&base, "config.json", "{\"name\":1}");
+    let config = write_test_file(&base, "config.json", "{\"name\":1}");
     let mut router = RouterProcess::start(&base, &[], &[("LB_CONFIG", &config)]);
     let log = router.wait_for_exit(ExpectedExit::Failure);
     assert!(log.lines().count() == 1 && log.contains("config.json: invalid type"), "{log}");
