--- a/tests/common/config_files.rs
+++ b/tests/common/config_files.rs
@@ -15,15 +15,15 @@
 }
 
 /// Returns the path of a test's directory.
-pub(crate) fn folder(base: &str) -> PathBuf {
+pub(crate) fn test_dir(base: &str) -> PathBuf {
     std::env::temp_dir().join(format!("inference-router-{base}"))
 }
 
 /// Writes a file in the test's directory, and returns its path.
 pub(crate) fn write_test_file(base: &str, name: &str, text: &str) -> PathBuf {
-    let folder = folder(base);
-    std::fs::create_dir_all(&folder).expect("failed to create the test directory");
-    let path = folder.join(name);
+    let directory = test_dir(base);
+    std::fs::create_dir_all(&directory).expect("failed to create the test directory");
+    let path = directory.join(name);
     std::fs::write(&path, text).expect("failed to write the test file");
     path
 }
--- a/tests/common/router_process.rs
+++ b/tests/common/router_process.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use super::config_files::{configuration, endpoint_entry, folder};
+use super::config_files::{configuration, endpoint_entry, test_dir};
 use super::discovery_stub::{DiscoveryStub, Watch};
 
 /// Limit on every wait in the tests, far longer than any expected wait: only a failing test reaches it.
@@ -25,7 +25,7 @@
     child: Child,
     log: Receiver<String>,
     log_lines: Vec<String>,
-    folder: PathBuf,
+    directory: PathBuf,
     started_at: Instant,
 }
 
@@ -38,7 +38,13 @@
         let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().expect("stderr is not piped")).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        RouterProcess { child, log, log_lines: Vec::new(), folder: folder(base), started_at: Instant::now() }
+        RouterProcess {
+            child,
+            log,
+            log_lines: Vec::new(),
+            directory: test_dir(base),
+            started_at: Instant::now(),
+        }
     }
 
     /// Waits for a log line that contains this text. Returns at once if there has been one.
@@ -87,7 +93,7 @@
         self.log_lines.extend(self.log.iter());
         let expects_success = expected == ExpectedExit::Success;
         assert_eq!(status.success(), expects_success, "{status}: {:#?}", self.log_lines);
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
         self.log_lines.join("\n")
     }
 }
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{endpoint_entry, endpoint_list, folder, loopback_address, port, write_test_file};
+use common::config_files::{
+    endpoint_entry, endpoint_list, loopback_address, port, test_dir, write_test_file,
+};
 use common::connection::connect_client;
 use common::discovery_stub::DiscoveryStub;
 use common::messages::{READINESS_REQUEST, request};
@@ -101,7 +103,7 @@
 fn a_configuration_that_is_half_written_at_sighup_is_read_once_it_is_complete() {
     let base = loopback_address();
     let mut router = start_router(&base, &["w1"], &[]);
-    let path = folder(&base).join("config.json");
+    let path = test_dir(&base).join("config.json");
     let moved = format!("{base}:{}", port("moved"));
     let text =
         std::fs::read_to_string(&path).expect("the configuration").replace(&format!("{base}:8500"), &moved);
