--- a/tests/common/config_files.rs
+++ b/tests/common/config_files.rs
@@ -67,7 +67,7 @@
 }
 
 /// As [`platform_config`], with text replacements: pairs of an old text, which must occur, and a new one.
-pub(crate) fn configuration(base: &str, replacements: &[(&str, &str)]) -> PathBuf {
+pub(crate) fn platform_config_with_replacements(base: &str, replacements: &[(&str, &str)]) -> PathBuf {
     let path = platform_config(base);
     let mut text = std::fs::read_to_string(&path).expect("failed to read the configuration");
     for (old, new) in replacements {
--- a/tests/common/router_process.rs
+++ b/tests/common/router_process.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use super::config_files::{configuration, endpoint_entry, test_dir};
+use super::config_files::{endpoint_entry, platform_config_with_replacements, test_dir};
 use super::discovery_stub::{DiscoveryStub, Watch};
 
 /// Limit on every wait in the tests, far longer than any expected wait: only a failing test reaches it.
@@ -122,7 +122,7 @@
     base: &str, endpoints: &[&str], replacements: &[(&str, &str)], variables: &[(&str, &Path)],
 ) -> RunningRouter {
     let mut discovery = DiscoveryStub::start(base);
-    let path = configuration(base, replacements);
+    let path = platform_config_with_replacements(base, replacements);
     let default_variables: [(&str, &Path); 2] = [("LB_CONFIG", &path), ("RUST_LOG", "debug".as_ref())];
     let mut process = RouterProcess::start(base, &[], &[&default_variables, variables].concat());
     let entries: Vec<_> = endpoints.iter().map(|name| endpoint_entry(base, name, "Ready")).collect();
--- a/tests/common/script/parse.rs
+++ b/tests/common/script/parse.rs
@@ -4,7 +4,8 @@
 
 use super::pattern::message_bytes;
 use crate::common::config_files::{
-    chat_config, configuration, platform_config, platform_config_with_discovery, port, write_test_file,
+    chat_config, platform_config, platform_config_with_discovery, platform_config_with_replacements, port,
+    write_test_file,
 };
 
 /// Placeholder for the test's loopback address in a script.
@@ -85,7 +86,7 @@
         match self {
             Api::Platform => platform_config(base),
             Api::PlatformWithHealthChecks => {
-                configuration(base, &[("\"mayProbe\": false", "\"mayProbe\": true")])
+                platform_config_with_replacements(base, &[("\"mayProbe\": false", "\"mayProbe\": true")])
             }
             Api::Chat => chat_config(base, endpoints, ""),
         }
--- a/tests/paused_process.rs
+++ b/tests/paused_process.rs
@@ -5,7 +5,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{configuration, endpoint_entry, endpoint_list, loopback_address, write_test_file};
+use common::config_files::{
+    endpoint_entry, endpoint_list, loopback_address, platform_config_with_replacements, write_test_file,
+};
 use common::connection::connect_client;
 use common::messages::{PREFILLED, READINESS_REQUEST, STREAM_END, STREAM_START, request};
 use common::router_process::{RouterProcess, WAIT_TIMEOUT, start_router};
@@ -82,7 +84,8 @@
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let _silent = StubListener::bind(&format!("{base}:8500"));
-    let text = std::fs::read_to_string(configuration(&base, &[])).expect("the file just written");
+    let text = std::fs::read_to_string(platform_config_with_replacements(&base, &[]))
+        .expect("the file just written");
     let entries = [endpoint_entry(&base, "r1", "Ready"), endpoint_entry(&base, "w1", "Ready")];
     let known = format!("\"known\":{},\"settings\"", endpoint_list(41, true, &entries));
     let path = write_test_file(&base, "config.json", &text.replace("\"settings\"", &known));
--- a/tests/soak/replica.rs
+++ b/tests/soak/replica.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use super::common::config_files::{configuration, loopback_address, write_test_file};
+use super::common::config_files::{loopback_address, platform_config_with_replacements, write_test_file};
 use super::common::faults::Faults;
 use super::discovery::{DiscoveryStub, ListKind, list_line};
 use super::run_state::{Lifecycle, ListedEndpoint, RunState};
@@ -118,7 +118,7 @@
 
     /// The text of a configuration with the present discovery address and endpoint list.
     fn configuration_text(&self) -> String {
-        let path = configuration(
+        let path = platform_config_with_replacements(
             &self.base,
             &[
                 ("\"balancers\": 2", &format!("\"balancers\": {}", self.replica_count)),
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{configuration, endpoint_entry, endpoint_list, loopback_address};
+use common::config_files::{
+    endpoint_entry, endpoint_list, loopback_address, platform_config_with_replacements,
+};
 use common::connection::{Connection, connect_client};
 use common::faults::{EADDRINUSE, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, Faults, clock_off, failing};
 use common::messages::{PREFILLED, STREAM_END, STREAM_START, request};
@@ -49,7 +51,7 @@
 /// Starts the router while a system call of its start fails.
 fn start_with_fault(base: &str, fault: String) -> (RouterProcess, Faults) {
     let faults = Faults::new(base, &[fault]);
-    let path = configuration(base, &[]);
+    let path = platform_config_with_replacements(base, &[]);
     let [library, control] = faults.variables();
     let router = RouterProcess::start(base, &[], &[("LB_CONFIG", &path), library, control]);
     (router, faults)
