--- a/tests/both_apis.rs
+++ b/tests/both_apis.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use common::config_files::{
-    chat_config, endpoint_entry, loopback_address, path_argument, platform_config, port,
+    chat_config, endpoint_entry, loopback_address, path_argument, platform_config, stub_port,
 };
 use common::discovery_stub::serve_endpoint_list;
 use common::router_process::RouterProcess;
@@ -94,7 +94,7 @@
 
 /// Starts an endpoint stub that counts each request that arrives to be answered, and closes the connections of some.
 fn start_endpoint_stub(base: &str, name: &'static str, arrivals: ArrivalCounts) {
-    let listener = TcpListener::bind(format!("{base}:{}", port(name))).expect("a free address");
+    let listener = TcpListener::bind(format!("{base}:{}", stub_port(name))).expect("a free address");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
             let arrivals = arrivals.clone();
--- a/tests/common/config_files.rs
+++ b/tests/common/config_files.rs
@@ -33,14 +33,14 @@
 }
 
 /// Returns the port of the endpoint or stub with this name, derived from the name.
-pub(crate) fn port(name: &str) -> u32 {
+pub(crate) fn stub_port(name: &str) -> u32 {
     name.bytes().fold(9_000, |sum, byte| sum + u32::from(byte))
 }
 
 /// Returns an entry of the endpoint list. Endpoints whose names start with `r` are prefill endpoints, others decode.
 pub(crate) fn endpoint_entry(base: &str, name: &str, state: &str) -> String {
     let kind = if name.starts_with('r') { "prefill" } else { "decode" };
-    let address = format!("{base}:{}", port(name));
+    let address = format!("{base}:{}", stub_port(name));
     format!(
         r#"{{"id":"{name}","addr":"{address}","zone":"sejong-1","kind":"{kind}","cell":1,"state":"{state}","weight":1.0,"started_ms":0}}"#
     )
@@ -84,7 +84,7 @@
     let (head, tail) = example.split_once("[[servers]]").expect("no [[servers]] in the example");
     let (_, tail) = tail.split_once("[[classes]]").expect("no [[classes]] in the example");
     let section =
-        |name: &&str| format!("[[servers]]\nname = \"{name}\"\naddress = \"{base}:{}\"\n", port(name));
+        |name: &&str| format!("[[servers]]\nname = \"{name}\"\naddress = \"{base}:{}\"\n", stub_port(name));
     let sections: String = endpoints.iter().map(section).collect();
     write_test_file(base, "chat.toml", &format!("{head}{sections}[[classes]]{tail}\n{more}"))
 }
--- a/tests/common/script/mod.rs
+++ b/tests/common/script/mod.rs
@@ -11,7 +11,7 @@
 use parse::{Api, Setup, Step, TitledStep, parse_steps, write_configuration};
 use peer::ScriptPeer;
 
-use super::config_files::{endpoint_entry, endpoint_list, loopback_address, path_argument, port};
+use super::config_files::{endpoint_entry, endpoint_list, loopback_address, path_argument, stub_port};
 use super::discovery_stub::serve_endpoint_list;
 use super::router_process::RouterProcess;
 
@@ -92,7 +92,7 @@
 fn start_listening_peers(base: &str, setup: &Setup<'_>) -> BTreeMap<String, ScriptPeer> {
     let names = setup.names.iter().filter(|name| !name.starts_with('!'));
     let start = |name: &&str| {
-        let port = if *name == "d" { DISCOVERY_PORT } else { port(name) };
+        let port = if *name == "d" { DISCOVERY_PORT } else { stub_port(name) };
         ((*name).to_owned(), ScriptPeer::listening(&format!("{base}:{port}")))
     };
     names.map(start).collect()
--- a/tests/common/script/parse.rs
+++ b/tests/common/script/parse.rs
@@ -4,8 +4,8 @@
 
 use super::pattern::message_bytes;
 use crate::common::config_files::{
-    chat_config, platform_config, platform_config_with_discovery, platform_config_with_replacements, port,
-    write_test_file,
+    chat_config, platform_config, platform_config_with_discovery, platform_config_with_replacements,
+    stub_port, write_test_file,
 };
 
 /// Placeholder for the test's loopback address in a script.
@@ -139,7 +139,7 @@
             write_test_file(base, "config.json", "{\"name\":");
         }
         Configuration::Discovery(name) => {
-            platform_config_with_discovery(base, port(name));
+            platform_config_with_discovery(base, stub_port(name));
         }
     }
 }
--- a/tests/common/stub_listener.rs
+++ b/tests/common/stub_listener.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-use super::config_files::port;
+use super::config_files::stub_port;
 use super::connection::{Connection, POLL_INTERVAL};
 use super::router_process::WAIT_TIMEOUT;
 
@@ -17,7 +17,7 @@
 impl StubListener {
     /// Listens on the address that the endpoint list contains for this endpoint.
     pub(crate) fn endpoint(base: &str, name: &str) -> Self {
-        StubListener::bind(&format!("{base}:{}", port(name)))
+        StubListener::bind(&format!("{base}:{}", stub_port(name)))
     }
 
     pub(crate) fn bind(address: &str) -> Self {
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::config_files::{
-    endpoint_entry, endpoint_list, loopback_address, port, test_dir, write_test_file,
+    endpoint_entry, endpoint_list, loopback_address, stub_port, test_dir, write_test_file,
 };
 use common::connection::connect_client;
 use common::discovery_stub::DiscoveryStub;
@@ -104,7 +104,7 @@
     let base = loopback_address();
     let mut router = start_router(&base, &["w1"], &[]);
     let path = test_dir(&base).join("config.json");
-    let moved = format!("{base}:{}", port("moved"));
+    let moved = format!("{base}:{}", stub_port("moved"));
     let text =
         std::fs::read_to_string(&path).expect("the configuration").replace(&format!("{base}:8500"), &moved);
     let mut moved_discovery = DiscoveryStub::start_at(&base, "moved");
--- a/tests/watch_races.rs
+++ b/tests/watch_races.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::config_files::{
-    endpoint_entry, endpoint_list, loopback_address, platform_config_with_discovery, port,
+    endpoint_entry, endpoint_list, loopback_address, platform_config_with_discovery, stub_port,
 };
 use common::connection::connect_client;
 use common::discovery_stub::DiscoveryStub;
@@ -81,7 +81,7 @@
     let decode_stub = StubListener::endpoint(&base, "w1");
     let mut router = start_router(&base, &["r1", "w1", "w2"], &[]);
     let mut moved = DiscoveryStub::start_at(&base, "discovery-2");
-    platform_config_with_discovery(&base, port("discovery-2"));
+    platform_config_with_discovery(&base, stub_port("discovery-2"));
     router.process.signal("HUP");
     moved.serve_snapshot(&[
         endpoint_entry(&base, "r1", "Ready"),
