--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -67,7 +67,7 @@
 }
 
 /// A fault that makes this percentage of the calls fail with this error.
-pub(crate) fn failing(call: &str, errno: i32, percent: u32) -> String {
+pub(crate) fn call_fault(call: &str, errno: i32, percent: u32) -> String {
     format!("{call} {errno} {percent}")
 }
 
--- a/tests/soak/fault_injection.rs
+++ b/tests/soak/fault_injection.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::common::faults::{
-    EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENOBUFS, clock_off, failing,
+    EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENOBUFS, call_fault, clock_off,
 };
 use super::discovery::DiscoveryStub;
 use super::endpoint::EndpointStub;
@@ -150,11 +150,11 @@
     let connect_errors = [ENETUNREACH, EADDRNOTAVAIL, ENOBUFS];
     let connect_error = connect_errors[state.draw_index(connect_errors.len())];
     let faults = [
-        failing("connect", connect_error, 50),
-        failing("socket", EMFILE, 20),
-        failing("accept", ECONNABORTED, 30),
-        failing("epoll", EINTR, 30),
-        failing("short", 0, 50),
+        call_fault("connect", connect_error, 50),
+        call_fault("socket", EMFILE, 20),
+        call_fault("accept", ECONNABORTED, 30),
+        call_fault("epoll", EINTR, 30),
+        call_fault("short", 0, 50),
     ];
     replica.inject_system_call_faults(&faults, state.draw_milliseconds(300..1_500)).await;
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -8,7 +8,7 @@
     endpoint_entry, endpoint_list, loopback_address, platform_config_with_replacements,
 };
 use common::connection::{Connection, connect_client};
-use common::faults::{EADDRINUSE, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, Faults, clock_off, failing};
+use common::faults::{EADDRINUSE, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, Faults, call_fault, clock_off};
 use common::messages::{PREFILLED, STREAM_END, STREAM_START, request};
 use common::router_process::{ExpectedExit, RouterProcess, start_router_with_variables};
 use common::stub_listener::StubListener;
@@ -38,7 +38,7 @@
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router_with_variables(&base, &["r1", "w1"], &[], &faults.variables());
-    faults.set(&[failing("connect", ENETUNREACH, 100)]);
+    faults.set(&[call_fault("connect", ENETUNREACH, 100)]);
     std::thread::sleep(Duration::from_millis(50));
     let mut client = connect_client(&base);
     client.send(&request("c1", "climb-query", 6_000));
@@ -69,17 +69,17 @@
 
 #[test]
 fn a_bind_that_fails_for_a_moment_does_not_end_the_start() {
-    assert_start_survives(failing("bind", EADDRINUSE, 100));
+    assert_start_survives(call_fault("bind", EADDRINUSE, 100));
 }
 
 #[test]
 fn a_configuration_that_cannot_be_opened_for_a_moment_does_not_end_the_start() {
-    assert_start_survives(failing("open", EMFILE, 100));
+    assert_start_survives(call_fault("open", EMFILE, 100));
 }
 
 #[test]
 fn a_router_that_cannot_start_yet_still_exits_at_sigterm() {
-    let (mut router, _faults) = start_with_fault(&loopback_address(), failing("bind", EADDRINUSE, 100));
+    let (mut router, _faults) = start_with_fault(&loopback_address(), call_fault("bind", EADDRINUSE, 100));
     router.wait_for_log("cannot listen yet");
     router.signal("TERM");
     let signalled_at = Instant::now();
@@ -94,8 +94,8 @@
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router_with_variables(&base, &["r1", "w1"], &[], &faults.variables());
-    let short = failing("short", 0, 60);
-    faults.set(&[failing("accept", ECONNABORTED, 40), failing("epoll", EINTR, 40), short]);
+    let short = call_fault("short", 0, 60);
+    faults.set(&[call_fault("accept", ECONNABORTED, 40), call_fault("epoll", EINTR, 40), short]);
     for id in ["f1", "f2", "f3"] {
         let mut client = connect_client(&base);
         client.send(&request(id, "climb-query", 6_000));
