--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -72,6 +72,6 @@
 }
 
 /// A fault that shifts the wall clock by this many seconds.
-pub(crate) fn clock_off(seconds: i64) -> String {
+pub(crate) fn clock_shift(seconds: i64) -> String {
     format!("clock 0 {seconds}")
 }
--- a/tests/soak/fault_injection.rs
+++ b/tests/soak/fault_injection.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::common::faults::{
-    EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENOBUFS, call_fault, clock_off,
+    EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENOBUFS, call_fault, clock_shift,
 };
 use super::discovery::DiscoveryStub;
 use super::endpoint::EndpointStub;
@@ -162,7 +162,7 @@
 async fn shift_clock(state: &RunState, replica: &ReplicaProcess) {
     state.record_fault("wall clock shifted");
     let seconds = if state.chance(500) { CLOCK_SHIFT_SECONDS } else { -CLOCK_SHIFT_SECONDS };
-    replica.inject_system_call_faults(&[clock_off(seconds)], state.draw_milliseconds(1_000..3_000)).await;
+    replica.inject_system_call_faults(&[clock_shift(seconds)], state.draw_milliseconds(1_000..3_000)).await;
 }
 
 async fn inject_process_fault(state: &RunState, replica: &Rc<ReplicaProcess>) {
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -8,7 +8,7 @@
     endpoint_entry, endpoint_list, loopback_address, platform_config_with_replacements,
 };
 use common::connection::{Connection, connect_client};
-use common::faults::{EADDRINUSE, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, Faults, call_fault, clock_off};
+use common::faults::{EADDRINUSE, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, Faults, call_fault, clock_shift};
 use common::messages::{PREFILLED, STREAM_END, STREAM_START, request};
 use common::router_process::{ExpectedExit, RouterProcess, start_router_with_variables};
 use common::stub_listener::StubListener;
@@ -127,7 +127,7 @@
 #[test]
 fn an_endpoint_whose_start_lies_in_the_future_of_a_slow_clock_warms_up() {
     let base = loopback_address();
-    let faults = Faults::new(&base, &[clock_off(-3_600)]);
+    let faults = Faults::new(&base, &[clock_shift(-3_600)]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let slow_start = slow_start_settings(500);
@@ -145,7 +145,7 @@
 #[test]
 fn an_endpoint_that_has_just_started_is_cold_though_the_clock_is_an_hour_ahead() {
     let base = loopback_address();
-    let faults = Faults::new(&base, &[clock_off(3_600)]);
+    let faults = Faults::new(&base, &[clock_shift(3_600)]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let slow_start = slow_start_settings(20_000);
     let settings = slow_start.each_ref().map(|(old, new)| (*old, new.as_str()));
