--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,4 +1,4 @@
-//! The simulated replicas: a scheduler for each, and the events of a batch handed to the right one.
+//! Maps replica IDs to schedulers and dispatches the events of a batch to them.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,34 @@
 use crate::config::settings::{NamedSettings, SettingNames, settings_from_options};
 use crate::scheduler::{Action, Event, Micros, Scheduler};
 
-/// One simulated replica, from its launch to its destruction.
-struct Replica {
+/// A simulated replica, which exists from its launch event to its destroy event.
+struct SimulatedReplica {
     scheduler: Scheduler,
     names: SettingNames,
 }
 
-/// Runs all simulated replicas of one process: a scheduler for each, with nothing shared among them.
+/// Runs the simulated replicas of one process. Each has its own scheduler; they share no state.
 #[derive(Default)]
 pub struct Adapter {
-    /// By the wire's `dispatcherId`.
-    replicas: BTreeMap<u64, Replica>,
+    /// Keyed by `dispatcherId`.
+    replicas: BTreeMap<u64, SimulatedReplica>,
 }
 
 impl Adapter {
-    /// Plays one batch, a line of JSON, and returns the line that answers it. Replicas without actions are
-    /// left out of the answer.
+    /// Processes one batch, a line of JSON, and returns the line of JSON to reply with. The reply omits
+    /// replicas that have no actions.
     ///
     /// # Errors
     ///
-    /// When the line is not a batch or one of its events is malformed. Events before the malformed one may
-    /// have been played.
+    /// Returns an error if the line is not a valid batch or one of its events is invalid. Events before the
+    /// invalid one may have been processed already.
     pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, BatchError> {
         let batch: Batch = serde_json::from_slice(line)?;
         let now = micros_from_millis(batch.now_ms);
         let mut reply = BatchReply { outboxes: Vec::new() };
         for inbox in batch.inboxes {
             let replica_id = inbox.replica;
-            let actions = self.play_inbox(now, inbox)?;
+            let actions = self.process_inbox(now, inbox)?;
             if !actions.is_empty() {
                 let commands = actions.into_iter().map(command_from_action).collect();
                 reply.outboxes.push(Outbox { replica: replica_id, commands });
@@ -45,12 +45,12 @@
         Ok(serde_json::to_string(&reply)?)
     }
 
-    /// Plays one replica's events as one round of its scheduler.
-    fn play_inbox(&mut self, now: Micros, inbox: Inbox) -> Result<Vec<Action>, BatchError> {
+    /// Processes the events of one replica as one round of its scheduler.
+    fn process_inbox(&mut self, now: Micros, inbox: Inbox) -> Result<Vec<Action>, BatchError> {
         let replica_id = inbox.replica;
         let mut events = Vec::new();
         for (index, message) in inbox.events.into_iter().enumerate() {
-            self.accept(replica_id, message, &mut events).map_err(|source| BatchError::Event {
+            self.apply_event(replica_id, message, &mut events).map_err(|source| BatchError::Event {
                 replica: replica_id,
                 index,
                 source,
@@ -63,16 +63,16 @@
         Ok(actions)
     }
 
-    /// Launches or destroys the replica, or adds the message's event to the `events` of the replica's round.
-    /// Events from before a launch or a destruction are dropped: they were for the replica's former life.
-    fn accept(
+    /// Launches or destroys the replica, or appends the message's event to the `events` of its round. A
+    /// launch and a destruction discard the events before them, which were for the previous scheduler.
+    fn apply_event(
         &mut self, replica_id: u64, message: WireEvent, events: &mut Vec<Event>,
     ) -> Result<(), EventError> {
         match message {
             WireEvent::Launch { salt, options } => {
                 let NamedSettings { settings, names } = settings_from_options(&options)?;
                 let scheduler = Scheduler::new(settings, salt);
-                self.replicas.insert(replica_id, Replica { scheduler, names });
+                self.replicas.insert(replica_id, SimulatedReplica { scheduler, names });
                 events.clear();
             }
             WireEvent::Destroy {} => {
--- a/src/simulator/translate.rs
+++ b/src/simulator/translate.rs
@@ -1,4 +1,4 @@
-//! Turns the wire's events into the scheduler's, and the scheduler's actions into the wire's commands.
+//! Converts the simulator's messages to the scheduler's events, and the scheduler's actions to commands.
 
 use serde_json::Value;
 use xxhash_rust::xxh3::xxh3_64;
@@ -12,11 +12,11 @@
     RequestSpec, TenantId,
 };
 
-/// The `info` by which a decode endpoint that rejects a request says that there is no KV cache to fetch.
+/// The value of `info` with which a decode endpoint rejects a request because there is no KV cache to fetch.
 const STATE_MISSING_INFO: f64 = 1.0;
 
-/// The scheduler's event for a message. None for messages that are not the scheduler's: launches and
-/// destructions, which the adapter carries out, and what other replicas send, which no decision uses.
+/// Converts a message to the scheduler's event. Returns `None` for launches and destructions, which the
+/// adapter performs itself, and for data from other replicas, which the scheduler does not use.
 pub(super) fn event_from_wire(message: WireEvent, names: &SettingNames) -> Result<Option<Event>, EventError> {
     let event = match message {
         WireEvent::Launch { .. } | WireEvent::Destroy {} | WireEvent::PeerData { .. } => return Ok(None),
@@ -38,7 +38,7 @@
                 request: RequestId(request),
                 attempt: AttemptId(attempt),
                 endpoint: EndpointId(endpoint),
-                outcome: outcome(&status, info),
+                outcome: outcome_from_wire(&status, info),
                 is_final,
                 cached_tokens: info,
                 elapsed: micros_from_millis(elapsed_ms),
@@ -49,7 +49,7 @@
         WireEvent::Reminder { token } => Event::TimerFired(token),
         WireEvent::StatusBack { endpoint, status, load_report } => Event::HealthChecked {
             endpoint: EndpointId(endpoint),
-            outcome: outcome(&status, 0.0),
+            outcome: outcome_from_wire(&status, 0.0),
             load_report: load_report.as_ref().map(load_report_from_wire),
         },
     };
@@ -98,24 +98,24 @@
     })
 }
 
-/// The request's tenant; absent, `null` and 0 stand for none.
+/// Looks up the request's tenant. No tenant is encoded as an absent key, `null` or 0.
 fn tenant_id(value: Option<&Value>, names: &SettingNames) -> Result<Option<TenantId>, EventError> {
     match value {
         None | Some(Value::Null) => Ok(None),
         Some(Value::Number(number)) if number.as_u64() == Some(0) => Ok(None),
         Some(Value::String(name)) => Ok(Some(names.tenant_id(name)?)),
-        Some(found) => Err(EventError::NotTenantName { found: found.clone() }),
+        Some(found) => Err(EventError::InvalidTenant { found: found.clone() }),
     }
 }
 
-/// The hash of a session or a prefix; absent, `null`, 0 and the empty text stand for none.
+/// Hashes a session or a prefix. No value is encoded as an absent key, `null`, 0 or an empty string.
 fn cache_key(value: Option<&Value>, key: &'static str) -> Result<Option<CacheKey>, EventError> {
     match value {
         None | Some(Value::Null) => Ok(None),
         Some(Value::Number(number)) if number.as_u64() == Some(0) => Ok(None),
         Some(Value::String(text)) if text.is_empty() => Ok(None),
         Some(Value::String(text)) => Ok(Some(CacheKey(xxh3_64(text.as_bytes())))),
-        Some(found) => Err(EventError::NotText { key, found: found.clone() }),
+        Some(found) => Err(EventError::InvalidCacheKey { key, found: found.clone() }),
     }
 }
 
@@ -127,7 +127,7 @@
     }
 }
 
-fn outcome(status: &WireOutcome, info: f64) -> Outcome {
+fn outcome_from_wire(status: &WireOutcome, info: f64) -> Outcome {
     match status {
         WireOutcome::Completed => Outcome::Completed,
         WireOutcome::Error => Outcome::Error,
@@ -142,7 +142,7 @@
     }
 }
 
-/// The values of a load report that the scheduler uses; others are passed over.
+/// Extracts the values that the scheduler uses from a load report and ignores the others.
 fn load_report_from_wire(values: &WireLoadReport) -> LoadReport {
     let value = |key: &str| values.get(key).copied();
     LoadReport {
@@ -155,10 +155,10 @@
     }
 }
 
-/// The wire's command for an action.
+/// Converts an action to the simulator's command.
 pub(super) fn command_from_action(action: Action) -> Command {
     match action {
-        // How soon the attempt must begin is for the network code: the simulator begins it at once.
+        // `start_within` matters only to the network code: the simulator starts each attempt at once.
         Action::Send { request, endpoint, timeout, start_within: _ } => Command::Send {
             request: request.0,
             endpoint: endpoint.0,
@@ -183,11 +183,11 @@
     }
 }
 
-/// The wire's text for one action.
+/// Serializes one action as the JSON of its command.
 ///
 /// # Errors
 ///
-/// When the action cannot be written as JSON.
-pub fn action_text(action: Action) -> Result<String, serde_json::Error> {
+/// Returns an error if the command cannot be serialized.
+pub fn action_to_json(action: Action) -> Result<String, serde_json::Error> {
     serde_json::to_string(&command_from_action(action))
 }
--- a/tests/common/script/mod.rs
+++ b/tests/common/script/mod.rs
@@ -1,5 +1,5 @@
-//! Plays recorded exchanges against the router: a script's peers are clients, endpoint stubs and discovery on
-//! loopback sockets. Every step waits for bytes or for an end, never for a time to pass.
+//! Runs scripts of recorded exchanges against the router. The peers in a script are clients, endpoint stubs and
+//! discovery on loopback sockets. Every step waits for bytes or for the end of a connection, never for a fixed time.
 
 mod parse;
 mod pattern;
@@ -8,18 +8,18 @@
 use std::collections::BTreeMap;
 use std::sync::mpsc::{Sender, channel};
 
-use parse::{Api, Setup, Step, TitledStep, steps, write_configuration};
+use parse::{Api, Setup, Step, TitledStep, parse_steps, write_configuration};
 use peer::ScriptPeer;
 
-use super::config_files::{address, endpoint_entry, endpoint_list, path_argument, port};
+use super::config_files::{endpoint_entry, endpoint_list, loopback_address, path_argument, stub_port};
 use super::discovery_stub::serve_endpoint_list;
 use super::router_process::RouterProcess;
 
-/// The port of discovery where the script plays it.
+/// Port of discovery if it is a peer in the script.
 const DISCOVERY_PORT: u32 = 8_500;
 
-/// A script that is being played.
-struct Player {
+/// The state of a running script.
+struct ScriptRunner {
     base: String,
     api: Api,
     router: RouterProcess,
@@ -28,71 +28,77 @@
     expected_counters: Vec<String>,
 }
 
-/// Plays one script. Its head line names the API and the endpoints: `platform r1 w1` or `chat s1 s2`.
-pub(crate) fn play(script: &str) {
-    let mut player = Player::start(&Setup::parse(script));
-    for step in steps(script, &player.base) {
-        player.perform(&step);
+/// Runs one script. Its first line names the API and the endpoints: `platform r1 w1` or `chat s1 s2`.
+pub(crate) fn run_script(script: &str) {
+    let mut runner = ScriptRunner::start(&Setup::parse(script));
+    for step in parse_steps(script, &runner.base) {
+        runner.perform(&step);
     }
-    player.finish();
+    runner.finish();
 }
 
-impl Player {
+impl ScriptRunner {
     fn start(setup: &Setup<'_>) -> Self {
-        let base = address();
-        let peers = listening_peers(&base, setup);
-        let endpoint_changes = if setup.scripts_discovery() {
+        let base = loopback_address();
+        let peers = start_listening_peers(&base, setup);
+        let endpoint_changes = if setup.has_scripted_discovery() {
             channel().0
         } else {
             let entry = |name: &&str| endpoint_entry(&base, name.trim_start_matches('!'), "Ready");
             serve_endpoint_list(&base, &setup.names.iter().map(entry).collect::<Vec<_>>())
         };
         let router = start_router(&base, setup);
-        Player { base, api: setup.api, router, endpoint_changes, peers, expected_counters: Vec::new() }
+        ScriptRunner { base, api: setup.api, router, endpoint_changes, peers, expected_counters: Vec::new() }
     }
 
-    fn perform(&mut self, titled: &TitledStep) {
-        match &titled.step {
+    fn perform(&mut self, titled_step: &TitledStep) {
+        match &titled_step.step {
             Step::Signal(name) => self.router.signal(name),
             Step::WaitForLog(part) => self.router.wait_for_log(part),
             Step::Configure(configuration) => write_configuration(&self.base, configuration),
             Step::ChangeEndpoint { name, state } => {
                 let entry = endpoint_entry(&self.base, name, state);
-                self.endpoint_changes.send(endpoint_list(2, false, &[entry])).expect("a watch");
+                self.endpoint_changes
+                    .send(endpoint_list(2, false, &[entry]))
+                    .expect("discovery stub has stopped");
             }
             Step::Peer { name, action } => {
                 let router_address = format!("{}:{}", self.base, self.api.port());
                 let peer = self.peers.entry(name.clone()).or_insert_with(ScriptPeer::client);
-                peer.perform(action, &router_address, &titled.title);
+                peer.perform(action, &router_address, &titled_step.title);
             }
             Step::ExpectCounters(counters) => self.expected_counters.clone_from(counters),
         }
     }
 
-    /// What nobody expected must not have come: a resend, a second answer, a last chunk.
+    /// Stops the router. Checks that no peer has received unexpected bytes, such as a retry, a second answer or a last
+    /// chunk, and that the log has the expected counters.
     fn finish(self) {
         let log = self.router.terminate();
         for (name, mut peer) in self.peers {
             peer.assert_finished(&name);
         }
         for counter in self.expected_counters {
-            let (name, value) = counter.split_once(' ').expect("a counter and its value");
-            assert!(log.contains(&format!("\"{name}\":{value},")), "counter {counter} in\n{log}");
+            let (name, value) = counter.split_once(' ').expect("expected a counter and its value");
+            assert!(
+                log.contains(&format!("\"{name}\":{value},")),
+                "counter {counter} not found in log\n{log}"
+            );
         }
     }
 }
 
-/// The endpoints of a script that listen, and discovery where the script plays it.
-fn listening_peers(base: &str, setup: &Setup<'_>) -> BTreeMap<String, ScriptPeer> {
+/// Starts the endpoints of a script that listen, and discovery if it is a peer in the script.
+fn start_listening_peers(base: &str, setup: &Setup<'_>) -> BTreeMap<String, ScriptPeer> {
     let names = setup.names.iter().filter(|name| !name.starts_with('!'));
     let start = |name: &&str| {
-        let port = if *name == "d" { DISCOVERY_PORT } else { port(name) };
+        let port = if *name == "d" { DISCOVERY_PORT } else { stub_port(name) };
         ((*name).to_owned(), ScriptPeer::listening(&format!("{base}:{port}")))
     };
     names.map(start).collect()
 }
 
-/// Starts the router and waits until it serves.
+/// Starts the router and waits until it accepts requests.
 fn start_router(base: &str, setup: &Setup<'_>) -> RouterProcess {
     let path = setup.api.write_configuration(base, &setup.names);
     let mut router = match setup.api {
@@ -103,7 +109,7 @@
     };
     router.wait_for_log(match setup.api {
         Api::Chat => "listening api=\"chat\"",
-        _ if setup.scripts_discovery() => "listening api=\"platform\"",
+        _ if setup.has_scripted_discovery() => "listening api=\"platform\"",
         _ => "ready endpoint_list=\"discovery\"",
     });
     router
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -7,7 +7,9 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-use common::config_files::{address, endpoint_entry, endpoint_list, file, platform_config};
+use common::config_files::{
+    endpoint_entry, endpoint_list, loopback_address, platform_config, write_test_file,
+};
 use common::router_process::RouterProcess;
 use inference_router::discovery::backoff::Backoff;
 
@@ -33,7 +35,7 @@
 
 #[test]
 fn a_start_with_a_known_endpoint_list_opens_one_watch_and_waits_for_its_answer() {
-    let base = address();
+    let base = loopback_address();
     let listener = TcpListener::bind(format!("{base}:8500")).expect("bind discovery address");
     let config = platform_config(&base);
     let text = std::fs::read_to_string(&config).expect("read configuration");
@@ -42,7 +44,7 @@
     let text = text.replace("\"membershipMode\": \"push\"", "\"membershipMode\": \"ask\"");
     let entry = endpoint_entry(&base, "w1", "Ready");
     let known = format!("\"known\":{},\"settings\"", endpoint_list(41, true, &[entry]));
-    file(&base, "config.json", &text.replace("\"settings\"", &known));
+    write_test_file(&base, "config.json", &text.replace("\"settings\"", &known));
     let mut router = RouterProcess::start(&base, &[], &[("LB_CONFIG", &config)]);
     let mut call = accept_call(&listener);
     assert_eq!(call.request_line, "GET /api/targets?follow=1&since=41 HTTP/1.1");
--- a/tests/paused_process.rs
+++ b/tests/paused_process.rs
@@ -5,10 +5,12 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{address, configuration, endpoint_entry, endpoint_list, file};
+use common::config_files::{
+    endpoint_entry, endpoint_list, loopback_address, platform_config_with_replacements, write_test_file,
+};
 use common::connection::connect_client;
 use common::messages::{PREFILLED, READINESS_REQUEST, STREAM_END, STREAM_START, request};
-use common::router_process::{PATIENCE, RouterProcess, start_router};
+use common::router_process::{RouterProcess, WAIT_TIMEOUT, start_router};
 use common::stub_listener::StubListener;
 
 /// How long the process is stopped. An attempt may start only much sooner than this after its client has
@@ -25,7 +27,7 @@
 /// Pauses the process while a client sends a request and disconnects. The request must not be forwarded
 /// afterwards.
 fn disconnect_during_pause(id: &str, client_connects: ClientConnects) {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router(&base, &["r1", "w1"], &[]);
@@ -61,7 +63,7 @@
 
 #[test]
 fn a_request_close_to_its_deadline_is_rejected_immediately() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let _decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router(&base, &["r1", "w1"], &[]);
@@ -80,14 +82,15 @@
 
 #[test]
 fn a_router_that_starts_with_a_known_endpoint_list_serves_while_discovery_is_silent() {
-    let base = address();
+    let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let _silent = StubListener::bind(&format!("{base}:8500"));
-    let text = std::fs::read_to_string(configuration(&base, &[])).expect("read configuration");
+    let text =
+        std::fs::read_to_string(platform_config_with_replacements(&base, &[])).expect("read configuration");
     let entries = [endpoint_entry(&base, "r1", "Ready"), endpoint_entry(&base, "w1", "Ready")];
     let known = format!("\"known\":{},\"settings\"", endpoint_list(41, true, &entries));
-    let path = file(&base, "config.json", &text.replace("\"settings\"", &known));
+    let path = write_test_file(&base, "config.json", &text.replace("\"settings\"", &known));
     let mut router = RouterProcess::start(&base, &[], &[("LB_CONFIG", &path)]);
     router.wait_for_log("listening api=\"platform\"");
     let started_at = Instant::now();
@@ -101,6 +104,10 @@
     decode.send(STREAM_START);
     decode.send(STREAM_END);
     client.read_until("0\r\n\r\n");
-    assert!(started_at.elapsed() < PATIENCE / 10, "{:?} from startup to the answer", started_at.elapsed());
+    assert!(
+        started_at.elapsed() < WAIT_TIMEOUT / 10,
+        "{:?} from startup to the answer",
+        started_at.elapsed()
+    );
     router.terminate();
 }
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -1,10 +1,10 @@
-//! The simulator's wire: what the adapter makes of its text, and the text that it answers.
+//! The JSON interface between simulator and adapter: parsing of events, and serialization of commands.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
 use inference_router::scheduler::{Action, AttemptId, EndpointId, RequestId};
-use inference_router::simulator::{Adapter, action_text};
+use inference_router::simulator::{Adapter, action_to_json};
 
 const SETTINGS: &str = r#"{"accounts":[{"name":"t1","quotaPerS":10.0,"share":1.0}],"balancers":2,"failureDomains":["z1"],
 "familyInfo":{"ahead":false,"aimUsPer1000PromptTokens":[40000.0],"farPrice":0.03,"localRead":false,
@@ -12,20 +12,20 @@
 "invariants":{"answerSlack":8.0,"drainGrace":2000.0,"fallMultiple":4.0,"overloadFor":1000.0,"rampTime":12000.0,
 "startCapacity":0.26},"kinds":["k1","k2"],"lanes":[{"deadline":4000.0,"lateWorth":0.2,"name":"c1","objective":1000.0,
 "semantics":"read_like","stream":true,"worth":1.0}],"limits":{"cancelling":true,"maxAttempts":4,"maxRetryAfter":1000.0,
-"mayDuplicate":false,"mayProbe":false,"retryAfter":true},"locality":"z1","membershipMode":"push","unheardOf":[1]}"#;
+"mayDuplicate":false,"mayProbe":false,"retryAfter":true},"locality":"z1","membershipMode":"push","unknown":[1]}"#;
 
-const REQUEST: &str = r#"{"t":"call","handle":9,"nPrompt":1800,"remaining":4000.0,"priority":"c1","outputCap":256,"clientGroup":"t1","novel":{}}"#;
+const REQUEST: &str = r#"{"t":"call","handle":9,"nPrompt":1800,"remaining":4000.0,"priority":"c1","outputCap":256,"clientGroup":"t1","unknown":{}}"#;
 
 const NO_COMMANDS: &str = r#"{"dispatchers":[]}"#;
 
-/// The events that launch a replica with these settings, one prefill endpoint and one decode endpoint.
+/// Returns the events that launch a replica with these settings, one prefill endpoint and one decode endpoint.
 fn launch_events(settings: &str) -> String {
     let settings = settings.replace('\n', "");
     let endpoints = r#"{"t":"update","form":"Persisted","rev":1,"elements":[{"dc":"z1","sku":"k1","pod":0,"phase":"SERVING","host":1},{"dc":"z1","sku":"k2","pod":0,"phase":"SERVING","host":2}]}"#;
     format!(r#"{{"t":"launch","salt":1,"options":{settings}}},{endpoints}"#)
 }
 
-/// A batch of one replica's events.
+/// Returns a batch with the events of one replica.
 fn batch(now_ms: f64, events: &str) -> String {
     format!(r#"{{"atTime":{now_ms},"dispatchers":[{{"dispatcherId":3,"events":[{events}]}}]}}"#)
 }
@@ -40,8 +40,8 @@
     adapter
 }
 
-/// The text of the error that the adapter answers a batch with.
-fn error_text(mut adapter: Adapter, batch: &str) -> String {
+/// Returns the message of the error that the batch causes.
+fn error_message(mut adapter: Adapter, batch: &str) -> String {
     adapter.handle_batch(batch.as_bytes()).unwrap_err().to_string()
 }
 
@@ -66,31 +66,31 @@
 }
 
 #[test]
-fn malformed_events_are_reported_with_their_fault() {
-    for (event, fault) in [
+fn malformed_events_are_reported_with_their_cause() {
+    for (event, cause) in [
         (r#"{"t":"call","handle":9}"#, "missing field"),
         (r#"{"t":"call","handle":"x"}"#, "invalid type"),
         (r#"{"t":"reply","handle":9,"host":1,"took":1.0,"stateCode":"fine"}"#, "unknown variant `fine`"),
-        (r#"{"t":"nonesuch"}"#, "unknown variant `nonesuch`"),
+        (r#"{"t":"unknownEvent"}"#, "unknown variant `unknownEvent`"),
         (
             r#"{"t":"call","handle":9,"nPrompt":1,"remaining":1,"priority":"c9","outputCap":1}"#,
             "unknown class \"c9\"",
         ),
     ] {
-        let error = error_text(launched_adapter(), &batch(1001.0, event));
-        assert!(error.contains(fault), "{error}");
+        let error = error_message(launched_adapter(), &batch(1001.0, event));
+        assert!(error.contains(cause), "{error}");
     }
-    let error = error_text(launched_adapter(), "not JSON");
+    let error = error_message(launched_adapter(), "not JSON");
     assert!(error.contains("expected"), "{error}");
 }
 
 #[test]
-fn contradictory_settings_are_reported_with_their_fault() {
+fn inconsistent_settings_are_reported_with_their_cause() {
     let no_prefill_kind = SETTINGS.replace(r#"["read","write"]"#, r#"["write","write"]"#);
-    let kind_error = error_text(Adapter::default(), &launch_batch(&no_prefill_kind));
+    let kind_error = error_message(Adapter::default(), &launch_batch(&no_prefill_kind));
     assert!(kind_error.contains("no kind reads prompts"), "{kind_error}");
     let no_inter_token_objective = SETTINGS.replace(r#""tokenAim":[60.0]"#, r#""tokenAim":[]"#);
-    let class_error = error_text(Adapter::default(), &launch_batch(&no_inter_token_objective));
+    let class_error = error_message(Adapter::default(), &launch_batch(&no_inter_token_objective));
     assert!(class_error.contains("tokenAim has no entry"), "{class_error}");
 }
 
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn every_action_has_its_text() {
+fn every_action_is_serialized_as_its_command() {
     let request = RequestId(9);
     let endpoint = EndpointId(2);
     for (action, text) in [
@@ -136,6 +136,6 @@
         (Action::SetTimer { token: 7, after: 5_000 }, r#"{"t":"wakeMe","nonce":7,"after":5.0}"#),
         (Action::Log("two".into()), r#"{"t":"noteDown","bodyText":"two"}"#),
     ] {
-        assert_eq!(action_text(action).unwrap(), text);
+        assert_eq!(action_to_json(action).unwrap(), text);
     }
 }
--- a/tests/soak/replica.rs
+++ b/tests/soak/replica.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use super::common::config_files::{address, configuration, file};
+use super::common::config_files::{loopback_address, platform_config_with_replacements, write_test_file};
 use super::common::faults::Faults;
 use super::discovery::{DiscoveryStub, ListKind, list_line};
 use super::run_state::{Lifecycle, ListedEndpoint, RunState};
@@ -53,9 +53,9 @@
 impl ReplicaProcess {
     /// Creates a replica of a run with `replica_count` replicas. Its process is not started.
     pub(crate) fn new(state: &RunState, index: usize, replica_count: usize) -> Rc<Self> {
-        let base = address();
+        let base = loopback_address();
         let faults = Faults::new(&base, &[]);
-        let log = file(&base, "log", "");
+        let log = write_test_file(&base, "log", "");
         Rc::new(ReplicaProcess {
             state: state.clone(),
             index,
@@ -119,7 +119,7 @@
 
     /// Returns a configuration with the current discovery address and endpoint list.
     fn configuration_text(&self) -> String {
-        let path = configuration(
+        let path = platform_config_with_replacements(
             &self.base,
             &[
                 ("\"balancers\": 2", &format!("\"balancers\": {}", self.replica_count)),
@@ -155,7 +155,7 @@
     pub(crate) fn start(self: &Rc<Self>) {
         let text = self.configuration_text();
         self.record_known_endpoints();
-        let path = file(&self.base, "config.json", &text);
+        let path = write_test_file(&self.base, "config.json", &text);
         let log = OpenOptions::new().append(true).open(&self.log).expect("failed to open the log file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_inference-router"));
         command.env("LB_CONFIG", path).env("RUST_LOG", "debug").envs(self.faults.variables());
@@ -282,10 +282,10 @@
         let old_discovery = self.discovery.borrow_mut().take();
         self.start_discovery().await;
         let text = self.configuration_text();
-        file(&self.base, "config.json", &text[..text.len() / 2]);
+        write_test_file(&self.base, "config.json", &text[..text.len() / 2]);
         self.signal("HUP");
         sleep(self.state.draw_duration_ms(0..300)).await;
-        file(&self.base, "config.json", &text);
+        write_test_file(&self.base, "config.json", &text);
         if let Some(old_discovery) = old_discovery {
             old_discovery.close().await;
         }
--- a/tests/socket_limits.rs
+++ b/tests/socket_limits.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::config_files::{address, chat_config, platform_config};
+use common::config_files::{chat_config, loopback_address, platform_config};
 use inference_router::config::{ChatConfig, PlatformConfig};
 use inference_router::scheduler::{EndpointId, Role};
 use inference_router::upstream::connection_pool::{ConnectionPool, EndpointAddress};
 
 #[test]
 fn both_apis_together_stay_under_the_limit_on_sockets() {
-    let base = address();
+    let base = loopback_address();
     let mut platform = PlatformConfig::read(&platform_config(&base)).expect("valid configuration");
     let chat = ChatConfig::read(&chat_config(&base, &["s1"], "")).expect("valid chat configuration");
     let chat_sockets = chat.max_client_connections + chat.pool.max_connections;
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_removed_endpoint_is_dropped_from_the_pool() {
-    let platform = PlatformConfig::read(&platform_config(&address())).expect("valid configuration");
+    let platform = PlatformConfig::read(&platform_config(&loopback_address())).expect("valid configuration");
     let pool = ConnectionPool::new(platform.pool, Default::default());
     let addr = platform.listen;
     pool.set_address(EndpointId(7), Some(EndpointAddress { addr, role: Role::Prefill, ready: true }));
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -5,9 +5,11 @@
 
 use std::time::{Duration, Instant};
 
-use common::config_files::{address, configuration, endpoint_entry, endpoint_list};
+use common::config_files::{
+    endpoint_entry, endpoint_list, loopback_address, platform_config_with_replacements,
+};
 use common::connection::{Connection, connect_client};
-use common::faults::{EADDRINUSE, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, Faults, clock_off, failing};
+use common::faults::{EADDRINUSE, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, Faults, call_fault, clock_shift};
 use common::messages::{PREFILLED, STREAM_END, STREAM_START, request};
 use common::router_process::{ExpectedExit, RouterProcess, start_router_with_variables};
 use common::stub_listener::StubListener;
@@ -33,12 +35,12 @@
 
 #[test]
 fn a_connect_that_fails_locally_costs_the_request_no_attempt() {
-    let base = address();
+    let base = loopback_address();
     let faults = Faults::new(&base, &[]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router_with_variables(&base, &["r1", "w1"], &[], &faults.variables());
-    faults.set(&[failing("connect", ENETUNREACH, 100)]);
+    faults.set(&[call_fault("connect", ENETUNREACH, 100)]);
     std::thread::sleep(Duration::from_millis(50));
     let mut client = connect_client(&base);
     client.send(&request("c1", "climb-query", 6_000));
@@ -51,7 +53,7 @@
 /// Starts the router while a system call needed for startup fails.
 fn start_with_fault(base: &str, fault: String) -> (RouterProcess, Faults) {
     let faults = Faults::new(base, &[fault]);
-    let path = configuration(base, &[]);
+    let path = platform_config_with_replacements(base, &[]);
     let [library, control] = faults.variables();
     let router = RouterProcess::start(base, &[], &[("LB_CONFIG", &path), library, control]);
     (router, faults)
@@ -59,7 +61,7 @@
 
 /// Injects a temporary failure of a system call during startup, and checks that startup then completes.
 fn assert_start_survives(fault: String) {
-    let (mut router, faults) = start_with_fault(&address(), fault);
+    let (mut router, faults) = start_with_fault(&loopback_address(), fault);
     std::thread::sleep(FAULT_DURATION);
     assert!(router.is_running(), "the router exited");
     faults.set(&[]);
@@ -69,17 +71,17 @@
 
 #[test]
 fn a_bind_that_fails_for_a_moment_does_not_end_the_start() {
-    assert_start_survives(failing("bind", EADDRINUSE, 100));
+    assert_start_survives(call_fault("bind", EADDRINUSE, 100));
 }
 
 #[test]
 fn a_configuration_that_cannot_be_opened_for_a_moment_does_not_end_the_start() {
-    assert_start_survives(failing("open", EMFILE, 100));
+    assert_start_survives(call_fault("open", EMFILE, 100));
 }
 
 #[test]
 fn a_router_that_cannot_start_yet_still_exits_at_sigterm() {
-    let (mut router, _faults) = start_with_fault(&address(), failing("bind", EADDRINUSE, 100));
+    let (mut router, _faults) = start_with_fault(&loopback_address(), call_fault("bind", EADDRINUSE, 100));
     router.wait_for_log("cannot listen yet");
     router.signal("TERM");
     let signalled_at = Instant::now();
@@ -89,13 +91,13 @@
 
 #[test]
 fn requests_are_served_despite_failed_short_and_interrupted_system_calls() {
-    let base = address();
+    let base = loopback_address();
     let faults = Faults::new(&base, &[]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let router = start_router_with_variables(&base, &["r1", "w1"], &[], &faults.variables());
-    let short = failing("short", 0, 60);
-    faults.set(&[failing("accept", ECONNABORTED, 40), failing("epoll", EINTR, 40), short]);
+    let short = call_fault("short", 0, 60);
+    faults.set(&[call_fault("accept", ECONNABORTED, 40), call_fault("epoll", EINTR, 40), short]);
     for id in ["f1", "f2", "f3"] {
         let mut client = connect_client(&base);
         client.send(&request(id, "climb-query", 6_000));
@@ -127,8 +129,8 @@
 
 #[test]
 fn an_endpoint_whose_start_lies_in_the_future_of_a_slow_clock_warms_up() {
-    let base = address();
-    let faults = Faults::new(&base, &[clock_off(-3_600)]);
+    let base = loopback_address();
+    let faults = Faults::new(&base, &[clock_shift(-3_600)]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let slow_start = slow_start_settings(500);
@@ -145,8 +147,8 @@
 
 #[test]
 fn an_endpoint_that_has_just_started_is_cold_though_the_clock_is_an_hour_ahead() {
-    let base = address();
-    let faults = Faults::new(&base, &[clock_off(3_600)]);
+    let base = loopback_address();
+    let faults = Faults::new(&base, &[clock_shift(3_600)]);
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let slow_start = slow_start_settings(20_000);
     let settings = slow_start.each_ref().map(|(old, new)| (*old, new.as_str()));
