--- a/tests/common/scheduler_harness.rs
+++ b/tests/common/scheduler_harness.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// As [`settings`], with so much memory at decode endpoints that it never limits admission.
+/// As [`settings`], with so much memory at decode endpoints that it is never the limit.
 pub(crate) fn settings_with_ample_memory() -> Settings {
     let mut settings = settings();
     settings.kinds[1].memory_tokens = Some(1e9);
@@ -163,7 +163,8 @@
         self.step(0, &events)
     }
 
-    /// Serves a request with a stream of this duration. Returns its decode endpoint, or `None` if no send was made.
+    /// Serves a request with a stream of this duration. Returns its decode endpoint, or `None` if the scheduler has
+    /// not sent it to a prefill and then to a decode endpoint.
     pub(crate) fn serve(&mut self, id: u64, stream_duration: Micros) -> Option<u32> {
         let prefill = sent_endpoint(&self.receive_request(id))?;
         let decode = sent_endpoint(&self.finish_attempt(id, prefill, Outcome::Prefilled))?;
@@ -227,7 +228,7 @@
     })
 }
 
-/// Counts the actions that are final answers.
+/// Counts the final answers, which are the `Reject` and `Fail` actions.
 pub(crate) fn final_answers(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::Reject { .. } | Action::Fail(_))).count()
 }
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -40,7 +40,7 @@
     adapter
 }
 
-/// Returns the message of the error that the batch causes.
+/// Returns the message of the error with which the adapter fails on the batch.
 fn error_message(mut adapter: Adapter, batch: &str) -> String {
     adapter.handle_batch(batch.as_bytes()).unwrap_err().to_string()
 }
