--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -18,7 +18,7 @@
     assert_eq!(prefill.read_message().header("request-id"), Some("p1"));
     client.close();
     router.process.wait_for_log("client disconnected request_id=p1");
-    // The attempt is cancelled: its connection is closed, and only the release of its reservation is sent.
+    // The attempt is canceled: its connection is closed, and only the release of its reservation is sent.
     assert_eq!(prefill.read_to_end_or_reset(), "");
     router.process.wait_for_log("releasing reservation request_id=p1");
     let log = router.process.terminate();
--- a/tests/common/config_files.rs
+++ b/tests/common/config_files.rs
@@ -1,9 +1,10 @@
-//! Configuration files and loopback addresses for tests. Each test has its own, so that tests can run in parallel.
+//! Configuration files and loopback addresses for tests. Each test has its own, so that tests can run in
+//! parallel.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Port of discovery at a test's loopback address.
+/// Port of the discovery stub at a test's loopback address.
 const DISCOVERY_PORT: u32 = 8_500;
 
 /// Returns a loopback address that no other test uses. It is the `base` of the other functions.
@@ -37,7 +38,8 @@
     name.bytes().fold(9_000, |sum, byte| sum + u32::from(byte))
 }
 
-/// Returns an entry of the endpoint list. Endpoints whose names start with `r` are prefill endpoints, others decode.
+/// Returns an entry of the endpoint list. Endpoints whose names start with `r` are prefill endpoints, others
+/// are decode endpoints.
 pub(crate) fn endpoint_entry(base: &str, name: &str, state: &str) -> String {
     let kind = if name.starts_with('r') { "prefill" } else { "decode" };
     let address = format!("{base}:{}", stub_port(name));
@@ -77,7 +79,8 @@
     write_test_file(base, "config.json", &text)
 }
 
-/// Writes the operator's file for the chat API of a router at this address, with these endpoints and `more` appended.
+/// Writes the operator's file for the chat API of a router at this address, with these endpoints and `more`
+/// appended.
 pub(crate) fn chat_config(base: &str, endpoints: &[&str], more: &str) -> PathBuf {
     let example =
         include_str!("../../deploy/chat.example.toml").replace("127.0.0.1:8090", &format!("{base}:8090"));
--- a/tests/common/connection.rs
+++ b/tests/common/connection.rs
@@ -1,5 +1,5 @@
-//! The test's end of a connection. Each operation waits for bytes or for the end of the connection, so that tests
-//! order events by what they have received and not by time.
+//! The test's end of a connection. Each operation waits for bytes or for the end of the connection, so that
+//! tests order events by what they have received and not by time.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -9,7 +9,8 @@
 
 /// Interval between checks of a state for which there is no notification.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Time within which a closed socket resets the connection. The router's lingering close reads for longer than this.
+/// Time within which a closed socket resets the connection. The router's lingering close reads for longer
+/// than this.
 const RESET_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of unread bytes in a failure message.
 const MAX_PREVIEW_BYTES: usize = 1_000;
@@ -145,7 +146,8 @@
         String::from_utf8_lossy(&std::mem::take(&mut self.unread)).into_owned()
     }
 
-    /// Returns whether the peer has closed its socket, so that writes fail with a reset within [`RESET_TIMEOUT`].
+    /// Returns whether the peer has closed its socket, so that writes fail with a reset within
+    /// [`RESET_TIMEOUT`].
     pub(crate) fn is_reset_on_write(&mut self) -> bool {
         let deadline = Instant::now() + RESET_TIMEOUT;
         while Instant::now() < deadline {
@@ -157,7 +159,7 @@
         false
     }
 
-    /// Returns the length of the peer's receive queue. The peer is on this machine.
+    /// Returns the length of the peer's receive queue, in bytes. The peer must be on this machine.
     pub(crate) fn unread_by_peer(&self) -> usize {
         let peer = proc_net_address(self.socket.peer_addr().expect("failed to get the peer address"));
         let own = proc_net_address(self.socket.local_addr().expect("failed to get the local address"));
@@ -168,7 +170,7 @@
         usize::from_str_radix(receive_queue, 16).expect("queue length is not hexadecimal")
     }
 
-    /// Shuts both directions down.
+    /// Shuts down both directions.
     pub(crate) fn close(self) {
         let _ = self.socket.shutdown(Shutdown::Both);
     }
--- a/tests/common/discovery_stub.rs
+++ b/tests/common/discovery_stub.rs
@@ -1,4 +1,4 @@
-//! Stubs of discovery: one that a test controls step by step, and one that answers in the background.
+//! Discovery stubs: one that a test controls step by step, and one that answers in the background.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 /// The text that makes [`serve_endpoint_list`] close the watch.
 const CLOSE_WATCH: &str = "close";
 
-/// A stub of discovery, which serves a snapshot of the endpoint list and then a watch on its changes.
+/// A discovery stub, which serves a snapshot of the endpoint list and then a watch on its changes.
 pub(crate) struct DiscoveryStub {
     listener: StubListener,
     version: u64,
@@ -73,7 +73,8 @@
     }
 }
 
-/// Serves a snapshot of the endpoint list and a watch in the background. Lines sent to the result go out on the watch.
+/// Serves a snapshot of the endpoint list and a watch in the background. Lines sent to the returned channel
+/// are written to the watch.
 pub(crate) fn serve_endpoint_list(base: &str, entries: &[String]) -> Sender<String> {
     let listener = TcpListener::bind(format!("{base}:8500")).expect("failed to bind");
     let (sender, changes) = channel::<String>();
--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -1,5 +1,5 @@
-//! Fault injection into the system calls of a process that a test starts. A change of the control file takes effect
-//! within milliseconds.
+//! Fault injection into the system calls of a process that a test starts. A change to the control file takes
+//! effect within milliseconds.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Shared helpers of the integration tests: stubs of endpoints and of discovery, the router as a child process, and
-//! a harness for the scheduler alone.
+//! Shared helpers of the integration tests: stubs of endpoints and of discovery, the router as a child
+//! process, and a harness for the scheduler alone.
 #![allow(dead_code, reason = "each test binary uses only some of these helpers")]
 
 pub(crate) mod config_files;
--- a/tests/common/router_process.rs
+++ b/tests/common/router_process.rs
@@ -30,7 +30,8 @@
 }
 
 impl RouterProcess {
-    /// Starts the router with these arguments and environment variables. [`Self::wait_for_exit`] removes its files.
+    /// Starts the router with these arguments and environment variables. [`Self::wait_for_exit`] removes its
+    /// files.
     pub(crate) fn start(base: &str, arguments: &[&str], variables: &[(&str, &Path)]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_inference-router"));
         command.args(arguments).env_remove("LB_CONFIG").envs(variables.iter().copied());
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Returns whether no log line contains this text yet. Panics if that is still so [`WAIT_TIMEOUT`] after the start.
+    /// Returns whether no log line contains this text yet. Panics if none does [`WAIT_TIMEOUT`] after the
+    /// process was started.
     pub(crate) fn has_not_logged(&mut self, text: &str) -> bool {
         self.log_lines.extend(self.log.try_iter());
         let logged = self.log_lines.iter().any(|line| line.contains(text));
@@ -104,7 +106,7 @@
     }
 }
 
-/// A running router that has received the endpoint list from a stub of discovery.
+/// A running router that has received the endpoint list from a discovery stub.
 pub(crate) struct RunningRouter {
     pub(crate) process: RouterProcess,
     pub(crate) discovery: DiscoveryStub,
--- a/tests/common/scheduler_harness.rs
+++ b/tests/common/scheduler_harness.rs
@@ -1,4 +1,4 @@
-//! A test harness that drives a scheduler with a small fleet, event by event.
+//! A test harness that drives a scheduler event by event.
 
 use inference_router::scheduler::{
     Action, AttemptId, CacheKey, Capabilities, CellId, EndpointId, EndpointKind, EndpointUpdate, Event,
@@ -62,7 +62,7 @@
     }
 }
 
-/// As [`settings`], with so much memory at decode endpoints that it is never the limit.
+/// As [`settings`], with enough memory at decode endpoints that it never limits admission.
 pub(crate) fn settings_with_ample_memory() -> Settings {
     let mut settings = settings();
     settings.kinds[1].memory_tokens = Some(1e9);
@@ -74,7 +74,7 @@
     EndpointUpdate { endpoint: EndpointId(endpoint), kind: KindId(kind), ..EndpointUpdate::default() }
 }
 
-/// As [`endpoint_update`], in a cell.
+/// As [`endpoint_update`], in the given cell.
 pub(crate) fn endpoint_in_cell(endpoint: u32, kind: usize, cell: i64) -> EndpointUpdate {
     EndpointUpdate { cell: CellId(cell), ..endpoint_update(endpoint, kind) }
 }
@@ -163,8 +163,8 @@
         self.step(0, &events)
     }
 
-    /// Serves a request with a stream of this duration. Returns its decode endpoint, or `None` if the scheduler has
-    /// not sent it to a prefill and then to a decode endpoint.
+    /// Serves a request with a stream of this duration. Returns its decode endpoint, or `None` if the
+    /// scheduler has not sent it to a prefill and then to a decode endpoint.
     pub(crate) fn serve(&mut self, id: u64, stream_duration: Micros) -> Option<u32> {
         let prefill = sent_endpoint(&self.receive_request(id))?;
         let decode = sent_endpoint(&self.finish_attempt(id, prefill, Outcome::Prefilled))?;
--- a/tests/common/script/mod.rs
+++ b/tests/common/script/mod.rs
@@ -1,5 +1,6 @@
-//! Runs scripts of recorded exchanges against the router. The peers in a script are clients, endpoint stubs and
-//! discovery on loopback sockets. Every step waits for bytes or for the end of a connection, never for a fixed time.
+//! Runs scripts of recorded exchanges against the router. The peers in a script are clients, endpoint stubs
+//! and discovery on loopback sockets. Every step waits for bytes or for the end of a connection, never for a
+//! fixed time.
 
 mod parse;
 mod pattern;
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Stops the router. Checks that no peer has received unexpected bytes, such as a retry, a second answer or a last
-    /// chunk, and that the log has the expected counters.
+    /// Stops the router. Checks that no peer has received unexpected bytes, such as a retry, a second answer
+    /// or a last chunk, and that the log has the expected counters.
     fn finish(self) {
         let log = self.router.terminate();
         for (name, mut peer) in self.peers {
--- a/tests/common/script/parse.rs
+++ b/tests/common/script/parse.rs
@@ -33,7 +33,7 @@
     ExpectCounters(Vec<String>),
 }
 
-/// The configuration that replaces the present one.
+/// The configuration that replaces the current one.
 pub(super) enum Configuration {
     /// An invalid configuration.
     Malformed,
@@ -45,7 +45,8 @@
 pub(super) enum PeerAction {
     /// Sends bytes on the current connection; opens the first one if there is none.
     Send(Vec<u8>),
-    /// Waits until all that a connection has received matches this pattern, and makes it the current connection.
+    /// Waits until all that a connection has received matches this pattern, and makes it the current
+    /// connection.
     Expect(Vec<u8>),
     /// Closes the current connection.
     Close,
@@ -96,7 +97,8 @@
 /// The first line of a script: the API and the endpoints, as in `platform r1 w1` or `chat s1 s2`.
 pub(super) struct Setup<'a> {
     pub(super) api: Api,
-    /// The endpoints. `!w1` is in the endpoint list but does not listen; `d` is discovery as a peer in the script.
+    /// The endpoints. `!w1` is in the endpoint list but does not listen; `d` is discovery as a peer in the
+    /// script.
     pub(super) names: Vec<&'a str>,
 }
 
@@ -156,7 +158,8 @@
     sections
 }
 
-/// Replaces each line `@name argument...` with the template of that name. The arguments replace `$1`, `$2` and so on.
+/// Replaces each line `@name argument...` with the template of that name. The arguments replace `$1`, `$2`
+/// and so on.
 fn expand(lines: &[String], templates: &[Section]) -> Vec<String> {
     lines.iter().flat_map(|line| expand_line(line, templates)).collect()
 }
--- a/tests/common/script/pattern.rs
+++ b/tests/common/script/pattern.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// Returns the bytes of a message. Its lines are `body:` and `chunk:` lines, in which `\n` is a line end, `repeat N:`
-/// lines, `noise`, and header lines, in which `{len}` is replaced with the length of the body.
+/// Returns the bytes of a message. Its lines are `body:` and `chunk:` lines, in which `\n` is a line end,
+/// `repeat N:` lines, `noise`, and header lines, in which `{len}` is replaced with the length of the body.
 pub(super) fn message_bytes(lines: &[String]) -> Vec<u8> {
     let body_length: usize = lines.iter().filter_map(|line| body_text(line)).map(|body| body.len()).sum();
     let mut text = String::new();
--- a/tests/common/script/peer.rs
+++ b/tests/common/script/peer.rs
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Checks after the exit of the router that all connections are closed and all received bytes were expected.
+    /// Checks after the exit of the router that all connections are closed and that all received bytes were
+    /// expected.
     pub(super) fn assert_finished(&mut self, name: &str) {
         while let Ok(event) = self.events.try_recv() {
             self.handle(event);
@@ -105,7 +106,7 @@
         self.connections.push(PeerConnection { socket: Some(socket), ..PeerConnection::default() });
     }
 
-    /// Waits for one event and handles it. Returns false on a time-out.
+    /// Waits for one event and handles it. Returns false on a timeout.
     fn wait_for_event(&mut self) -> bool {
         let Ok(event) = self.events.recv_timeout(WAIT_TIMEOUT) else { return false };
         self.handle(event);
--- a/tests/common/stub_listener.rs
+++ b/tests/common/stub_listener.rs
@@ -36,7 +36,8 @@
         StubListener::accept_within(listeners, WAIT_TIMEOUT).expect("no connection within the time limit")
     }
 
-    /// Returns the next connection to any of the listeners if there is one within [`OPTIONAL_CONNECTION_TIMEOUT`].
+    /// Returns the next connection to any of the listeners if there is one within
+    /// [`OPTIONAL_CONNECTION_TIMEOUT`].
     pub(crate) fn accept_soon(listeners: &[&StubListener]) -> Option<Connection> {
         StubListener::accept_within(listeners, OPTIONAL_CONNECTION_TIMEOUT).map(|(_, connection)| connection)
     }
--- a/tests/common/stubbed_router.rs
+++ b/tests/common/stubbed_router.rs
@@ -52,7 +52,8 @@
         connect_client(&self.base)
     }
 
-    /// Serves a request from prefill to the end of its stream. Dropping the result closes the stubs' connections.
+    /// Serves a request from prefill to the end of its stream. Dropping the result closes the stubs'
+    /// connections.
     pub(crate) fn answer_request(&self, id: &str, client: &mut Connection) -> [Connection; 2] {
         let prefill = answer_prefill(&self.prefill_stub, id);
         let mut stream = start_stream(&self.decode_stub, id);
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -31,7 +31,7 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Returns the context of a router with one prefill and one decode endpoint, both at the listener's address.
-/// The pool allows a single connection, and attempts cannot be cancelled.
+/// The pool allows a single connection, and attempts cannot be canceled.
 fn routing_context(listener: &TcpListener) -> RoutingContext {
     let mut settings = settings();
     settings.capabilities.cancellation = false;
--- a/tests/decision_stability.rs
+++ b/tests/decision_stability.rs
@@ -21,7 +21,8 @@
 /// A request without a final answer.
 #[derive(Default)]
 struct OpenRequest {
-    /// The attempt in flight: its number, its endpoint, when it was sent, whether its first token has come.
+    /// The attempt in flight: its number, its endpoint, when it was sent, whether its first token has
+    /// arrived.
     attempt: Option<(u32, EndpointId, Micros, bool)>,
     attempts_sent: u32,
 }
@@ -163,7 +164,7 @@
         })
     }
 
-    /// The first token or the end of a random attempt in flight; none if no attempt is in flight.
+    /// Returns the first token or the end of a random attempt in flight; `None` if no attempt is in flight.
     fn random_attempt_event(&mut self) -> Option<Event> {
         let in_flight: Vec<_> =
             self.requests.iter().filter(|(_, r)| r.attempt.is_some()).map(|(&id, _)| id).collect();
@@ -221,7 +222,8 @@
         Some(Event::ClientDisconnected(RequestId(id)))
     }
 
-    /// A delta of the endpoint list in which one endpoint drains, is removed, becomes ready or restarts.
+    /// Returns a delta of the endpoint list in which one endpoint drains, is removed, becomes ready or
+    /// restarts.
     fn random_endpoint_change(&mut self) -> Event {
         let index = self.rng.usize(0..self.endpoints.len());
         let update = &mut self.endpoints[index];
@@ -237,7 +239,7 @@
     }
 }
 
-/// Settings with three classes of different idempotency and two tenants.
+/// Returns settings with three classes of different idempotency and two tenants.
 fn scenario_settings(replicas: u32) -> Settings {
     let mut settings = settings();
     let class = settings.classes[0].clone();
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! How a replica calls a discovery service that serves the whole fleet.
+//! Calls of a replica to a discovery service that serves the whole fleet: the watch at startup, and backoff
+//! after failures.
 
 mod common;
 
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists and configuration files that are split, contain malformed records, or are incomplete.
+//! Endpoint lists and configuration files that are split, contain malformed entries, or are incomplete.
 
 mod common;
 
@@ -15,7 +15,7 @@
 
 use inference_router::discovery::endpoint_list::ListReader;
 
-/// Exchanges a request with the router. Afterwards it has read all data that was sent to it before.
+/// Exchanges a request with the router, which has then read all data that was sent to it before.
 fn round_trip(base: &str) {
     let mut other = connect_client(base);
     other.send(READINESS_REQUEST);
@@ -73,7 +73,7 @@
     router.process.terminate();
     assert!(
         prefill_stub.has_no_unaccepted_connection(),
-        "a request was sent to an endpoint with a malformed record"
+        "a request was sent to an endpoint with a malformed entry"
     );
 }
 
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! Replays recorded exchanges against the router. The first line of each file states what it tests.
+//! Replays recorded exchanges against the router. The comment at the head of each file states what it tests.
 
 mod common;
 
--- a/tests/paused_process.rs
+++ b/tests/paused_process.rs
@@ -25,7 +25,7 @@
 }
 
 /// Pauses the process while a client sends a request and disconnects. The request must not be forwarded
-/// afterwards.
+/// after the process continues.
 fn disconnect_during_pause(id: &str, client_connects: ClientConnects) {
     let base = loopback_address();
     let prefill_stub = StubListener::endpoint(&base, "r1");
--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -122,8 +122,7 @@
     };
     for id in 1..6 {
         let actions = harness.step(10 * SECOND, &[best_effort_request(id)]);
-        let prefill =
-            sent_endpoint(&actions).expect("best-effort request is sent without the admission test");
+        let prefill = sent_endpoint(&actions).expect("best-effort request is sent without a capacity check");
         let prefilled = attempt_finished_after(id, prefill, Outcome::Prefilled, 4 * SECOND);
         harness.step(4 * SECOND, &[prefilled]);
         harness.complete_stream(id, 50);
--- a/tests/scheduler/final_answers.rs
+++ b/tests/scheduler/final_answers.rs
@@ -67,8 +67,8 @@
         [endpoint_in_cell(PREFILL, 0, 1), endpoint_in_cell(DECODE, 1, 1), endpoint_in_cell(11, 1, 2)];
     let keyed = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: SECOND };
     let (mut harness, mut actions) = after_decode_timeout(keyed, &endpoints);
-    // Its deduplication scope has no decode endpoint but the one that failed, and its window ends long before
-    // its deadline.
+    // The only decode endpoint in its deduplication scope has failed, and its window ends long before its
+    // deadline.
     let mut answered_at = None;
     for _ in 0..200 {
         if final_answers(&actions) > 0 {
--- a/tests/scheduler/health_checks.rs
+++ b/tests/scheduler/health_checks.rs
@@ -9,7 +9,7 @@
     request_spec, sent_endpoint, settings,
 };
 
-/// One replica of a fleet of 100, with 8 prefill endpoints and with health checks enabled.
+/// Returns one replica of a fleet of 100, with 8 prefill endpoints and with health checks enabled.
 fn replica_of_large_fleet() -> SchedulerHarness {
     let mut settings = settings();
     settings.replicas = 100;
@@ -18,7 +18,7 @@
     SchedulerHarness::new(settings, &endpoints)
 }
 
-/// The prefill endpoints that these actions send health checks to.
+/// Returns the prefill endpoints that these actions send health checks to.
 fn checked_prefill_endpoints(actions: &[Action]) -> Vec<u32> {
     let checked = |action: &Action| match action {
         Action::HealthCheck(EndpointId(id @ 1..9)) => Some(*id),
@@ -76,7 +76,7 @@
 fn a_replica_with_frequent_requests_does_not_check_prefill_endpoints() {
     let mut harness = replica_of_large_fleet();
     harness.step(5 * SECOND, &[]);
-    // About 20 requests per second to each prefill endpoint, which bring enough load reports.
+    // About 20 requests per second to each prefill endpoint, whose responses carry enough load reports.
     let checks: Vec<_> = (0..400)
         .map(|id| {
             let actions = harness.step(6 * MILLISECOND, &[Event::RequestReceived(request_spec(id))]);
@@ -108,7 +108,7 @@
         (8..=16).contains(&checks_at_low_load),
         "{checks_at_low_load} checks in 10 s by one of two replicas, which together send one every 0.35 s"
     );
-    // 20 requests per second: their responses bring enough load reports.
+    // 20 requests per second, whose responses carry enough load reports.
     let checks_at_high_load: Vec<_> = (2..402)
         .map(|id| {
             let received = Event::RequestReceived(request_spec(id));
@@ -129,8 +129,8 @@
     }
 }
 
-/// Number of health checks that one decode endpoint receives in 10 s from a fleet in which every replica has
-/// an open request.
+/// Returns the number of health checks that one decode endpoint receives in 10 s from a fleet in which every
+/// replica has an open request.
 fn checks_by_fleet(replicas: u32) -> usize {
     let mut settings = settings();
     settings.replicas = replicas;
--- a/tests/scheduler/retries.rs
+++ b/tests/scheduler/retries.rs
@@ -16,7 +16,7 @@
     settings
 }
 
-/// A harness in which the first decode attempt of request 1 timed out, and the resulting actions.
+/// Returns a harness in which the first decode attempt of request 1 timed out, and the resulting actions.
 pub(crate) fn after_decode_timeout(
     idempotency: Idempotency, endpoints: &[EndpointUpdate],
 ) -> (SchedulerHarness, Vec<Action>) {
@@ -164,8 +164,8 @@
     }
 }
 
-/// The actions for a request whose first decode endpoint may have executed it and was then removed, once a
-/// connection to the second one has failed.
+/// Returns the actions for a request whose first decode endpoint may have executed it and was then removed,
+/// once a connection to the second one has failed.
 fn actions_after_first_endpoint_was_removed(scope: DeduplicationScope) -> Vec<Action> {
     let endpoints = [
         endpoint_update(PREFILL, 0),
--- a/tests/scheduler/slow_start.rs
+++ b/tests/scheduler/slow_start.rs
@@ -18,14 +18,14 @@
     endpoint: u32,
 }
 
-/// A prefill attempt among a list of actions.
+/// A prefill attempt in a list of actions.
 struct PrefillAttempt {
     position: usize,
     request: u64,
     endpoint: u32,
 }
 
-/// Number of these times that lie within the given second.
+/// Returns the number of these times that lie within the given second.
 fn count_in_second(times: &[Micros], second: Micros) -> usize {
     let within = second * SECOND..(second + 1) * SECOND;
     times.iter().filter(|&time| within.contains(time)).count()
@@ -44,8 +44,8 @@
     assert!(sends.count() <= 20, "over 20 of 100 requests within 1 s were sent to a starting endpoint");
 }
 
-/// Times at which one of 100 replicas sends to prefill endpoint 1 after that endpoint's restart. The replica
-/// receives one request per second; the restart comes just before the 31st.
+/// Returns the times at which one of 100 replicas sends to prefill endpoint 1 after that endpoint's restart.
+/// The replica receives one request per second; the restart comes just before the 31st.
 fn replica_sends_to_restarted_endpoint(replica: u64, endpoints: &[EndpointUpdate]) -> Vec<Micros> {
     let cold = EndpointUpdate { started_at: Some(130 * SECOND), ..endpoint_update(1, 0) };
     let mut harness = SchedulerHarness::with_seed(settings(), replica, endpoints);
@@ -105,7 +105,7 @@
     sends
 }
 
-/// The first attempt that is sent to one of the prefill endpoints 1 to 4.
+/// Returns the first attempt that is sent to one of the prefill endpoints 1 to 4.
 fn first_prefill(actions: &[Action]) -> Option<PrefillAttempt> {
     actions.iter().enumerate().find_map(|(position, action)| match action {
         Action::Send { request, endpoint: EndpointId(endpoint @ 1..5), .. } => {
@@ -139,13 +139,13 @@
     );
     assert!(
         early <= 48,
-        "{early} sends in the first 3 s, with 3 x 0.65 of 0.3 to 0.51 of 20 per second to be used"
+        "{early} sends in the first 3 s, where 0.65 x 3 x (0.3 to 0.51) x 20 per second are allowed"
     );
 }
 
 /// Asserts that no endpoint is overloaded. Each can serve at least 5 requests per second, as it did when
-/// warm. It starts with 0.3 of that capacity and has all of it after 10 s; it is overloaded by more than 3
-/// times its present capacity within one second. The scheduler uses 0.65 of that limit.
+/// warm. It starts with 0.3 of that capacity and reaches all of it after 10 s; more than 3 times its current
+/// capacity within one second overloads it. The scheduler uses 0.65 of that limit.
 fn assert_no_endpoint_is_overloaded(sends: &[SentAttempt]) {
     for endpoint in 1..5 {
         for from in (0..9 * SECOND).step_by(100_000) {
@@ -163,9 +163,9 @@
     }
 }
 
-/// Times at which one replica of a fleet that starts together sends to decode endpoint 10. The first endpoint
-/// list shows that this endpoint has just started, and the load reports that it has the most free memory. The
-/// replica receives one request per second, the first after `first_request_after`.
+/// Returns the times at which one replica of a fleet that starts together sends to decode endpoint 10. The
+/// first endpoint list shows that this endpoint has just started, and the load reports show that it has the
+/// most free memory. The replica receives one request per second, the first after `first_request_after`.
 fn starting_replica_sends_to_cold_endpoint(
     replica: u64, first_request_after: Micros, endpoints: &[EndpointUpdate],
 ) -> Vec<Micros> {
@@ -192,7 +192,8 @@
     sends
 }
 
-/// Times at which a fleet of replicas that start together sends to a decode endpoint that starts with them.
+/// Returns the times at which a fleet of replicas that start together sends to a decode endpoint that starts
+/// with them.
 fn starting_fleet_sends_to_cold_endpoint(replicas: u64) -> Vec<Micros> {
     let cold = EndpointUpdate { started_at: Some(100 * SECOND), ..endpoint_update(10, 1) };
     let warm = (11..18).map(|id| endpoint_update(id, 1));
@@ -210,8 +211,8 @@
         let sends = starting_fleet_sends_to_cold_endpoint(replicas);
         for second in 100..110 {
             let count = count_in_second(&sends, second) as f64;
-            // The endpoint's even share of the requests is taken as its capacity when warm; it is overloaded
-            // by more than 3 times its present capacity. The margin allows for random variation.
+            // The endpoint's even share of the requests is taken as its capacity when warm; more than 3 times
+            // its current capacity overloads it. The margin allows for random variation.
             let warmup_factor = 0.3 + 0.7 * (second - 100) as f64 / 10.0;
             let overload_limit = replicas as f64 / 8.0 * 3.0 * warmup_factor;
             let max_count = overload_limit + 2.0 * overload_limit.sqrt() + 2.0;
--- a/tests/shim/faults.c
+++ b/tests/shim/faults.c
@@ -1,14 +1,15 @@
 /*
- * Injects faults into the system calls of one process, for the tests. The library is loaded with LD_PRELOAD and reads
- * the faults to inject from a control file, whose path is in the environment variable FAULTS_FILE. A test may replace
- * that file while the process runs; a change takes effect within REREAD_INTERVAL_NS. Each line names one fault:
+ * Injects faults into the system calls of one process, for the tests. The library is loaded with LD_PRELOAD
+ * and reads the faults to inject from a control file, whose path is in the environment variable FAULTS_FILE.
+ * A test may replace that file while the process runs; a change takes effect within REREAD_INTERVAL_NS. Each
+ * line names one fault:
  *
  *   CALL ERRNO PERCENT   this percentage of the calls fails with this error number
- *   short 0 PERCENT      this percentage of the reads and writes on sockets transfers only a part of the bytes
+ *   short 0 PERCENT      this percentage of the reads and writes on sockets transfers only part of the bytes
  *   clock 0 SECONDS      the wall clock is shifted by this many seconds; the monotonic clock is not
  *
- * CALL is one of accept, bind, connect, epoll, open, socket. Of the files, only those whose path contains config.json
- * fail to open; of the sockets, only those for IPv4 fail to be created.
+ * CALL is one of accept, bind, connect, epoll, open, socket. An open fails only if the path contains
+ * config.json, and the creation of a socket only if it is for IPv4.
  *
  * The state below is not synchronized between threads.
  */
@@ -38,9 +39,10 @@
 /* Size of the buffer for the control file, in bytes; the rest of a longer file is ignored. */
 enum { MAX_CONTROL_FILE_BYTES = 1024 };
 
-/* The error number with which each fault fails a call. */
+/* The error number that each fault makes a call fail with. */
 static int error_numbers[FAULT_COUNT];
-/* The third column of the control file: a percentage of calls, or for CLOCK a number of seconds. Zero is no fault. */
+/* The third column of the control file: a percentage of calls, or a number of seconds for CLOCK. Zero
+ * disables the fault. */
 static long amounts[FAULT_COUNT];
 /* When the control file was last read, on the monotonic clock; zero before the first time. */
 static long long last_read_ns;
@@ -76,7 +78,8 @@
     }
 }
 
-/* Reads the control file again if the interval is over. System calls are made directly, as open is replaced below. */
+/* Reads the control file again once the interval is over. System calls are made directly, as open is replaced
+ * below. */
 static void refresh_faults(void) {
     long long now = monotonic_ns();
     if (last_read_ns != 0 && now - last_read_ns < REREAD_INTERVAL_NS)
@@ -97,7 +100,7 @@
     parse_faults(text);
 }
 
-/* Decides at random whether the fault applies to this call, with the probability given by its percentage. */
+/* Returns whether the fault applies to this call, at random with the probability given by its percentage. */
 static int is_injected(enum fault fault) {
     refresh_faults();
     if (amounts[fault] <= 0)
@@ -116,7 +119,7 @@
     return 1;
 }
 
-/* The number of bytes to transfer when `length` bytes were requested: fewer if a short transfer is injected. */
+/* Returns the number of bytes to transfer of the requested length: fewer if a short transfer is injected. */
 static size_t transfer_length(size_t length) {
     return length > 1 && is_injected(SHORT) ? 1 + length / 3 : length;
 }
--- a/tests/silent_endpoints.rs
+++ b/tests/silent_endpoints.rs
@@ -65,7 +65,7 @@
     idle.send(STREAM_START);
     idle.send(STREAM_END);
     client.read_until("0\r\n\r\n");
-    // From here on, nobody responds on the idle connection, and it reports no error.
+    // From here on, the endpoint does not respond on the idle connection, which reports no error.
     std::thread::sleep(SILENCE_DURATION);
     client.send(&request("k2", "climb-query", 6_000));
     answer_prefill(&mut prefill, "k2");
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -1,4 +1,5 @@
-//! The JSON interface between simulator and adapter: parsing of events, and serialization of commands.
+//! The JSON interface between the simulator and its adapter: parsing of events, and serialization of
+//! commands.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -18,7 +19,8 @@
 
 const NO_COMMANDS: &str = r#"{"dispatchers":[]}"#;
 
-/// Returns the events that launch a replica with these settings, one prefill endpoint and one decode endpoint.
+/// Returns the events that launch a replica with these settings, one prefill endpoint and one decode
+/// endpoint.
 fn launch_events(settings: &str) -> String {
     let settings = settings.replace('\n', "");
     let endpoints = r#"{"t":"update","form":"Persisted","rev":1,"elements":[{"dc":"z1","sku":"k1","pod":0,"phase":"SERVING","host":1},{"dc":"z1","sku":"k2","pod":0,"phase":"SERVING","host":2}]}"#;
--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -1,5 +1,5 @@
 //! Stub of the discovery service. Each discovery address in a replica's configuration has a stub of its own,
-//! which sends endpoint list changes in chunks of random sizes, can fall silent, and can reset its watches.
+//! which sends endpoint list changes in chunks of random sizes, can stop sending, and can reset its watches.
 
 use std::cell::Cell;
 use std::io;
@@ -40,7 +40,7 @@
 pub(crate) struct DiscoveryStub {
     state: RunState,
     replica_index: usize,
-    /// Until then, responses and list changes are held back.
+    /// Responses and list changes are delayed until this time.
     silent_until: Cell<Option<Instant>>,
     /// Number of resets so far; a change closes all open watches.
     resets: watch::Sender<u64>,
@@ -91,7 +91,7 @@
         stub
     }
 
-    /// Holds back responses and list changes for this long; connections stay open.
+    /// Delays responses and list changes for this long; connections stay open.
     pub(crate) fn silence(&self, duration: Duration) {
         self.silent_until.set(Some(Instant::now() + duration));
     }
--- a/tests/soak/endpoint.rs
+++ b/tests/soak/endpoint.rs
@@ -1,5 +1,5 @@
-//! Stubs of prefill and decode endpoints, which reject requests, hang, crash, and restart without their
-//! state.
+//! Stubs of prefill and decode endpoints, which reject requests, hang, crash, and lose their KV caches at a
+//! restart.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,13 +17,13 @@
 /// Response that rejects a request before its execution.
 const NOT_STARTED_RESPONSE: &str =
     "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-/// Response of a decode endpoint if the request's prefilled state does not exist.
+/// Response of a decode endpoint if the request's KV cache is missing.
 const STATE_MISSING_RESPONSE: &str = "HTTP/1.1 410 Gone\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 /// Error response after which the request may have been executed.
 const ERROR_RESPONSE: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
 /// Response that is cut off within its status line.
 const TRUNCATED_RESPONSE: &str = "HTTP/1.1 2";
-/// Response of a prefill endpoint after a prefill, whose state stays reserved for the decode.
+/// Response of a prefill endpoint after a prefill, whose KV cache stays reserved for the decode attempt.
 const PREFILLED_RESPONSE: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
 /// Response to the release of a reservation.
 const RELEASED_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
@@ -32,7 +32,7 @@
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// The last event of a stream, followed by the last chunk.
 const STREAM_END: &str = "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
-/// Time after which idle connections are closed, as observed on real endpoints.
+/// Time after which idle connections are closed; real endpoints do so too.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Length of the queue of connections to accept.
 const LISTEN_BACKLOG: u32 = 1_024;
@@ -43,7 +43,7 @@
     name: String,
     address: String,
     role: Role,
-    /// Until then, requests are accepted but get no response.
+    /// Requests are accepted but get no response until this time.
     hangs_until: Cell<Option<Instant>>,
     task: RefCell<Option<JoinHandle<()>>>,
     /// Unix time of the last start, in milliseconds; 0 for an endpoint that started long before the run.
@@ -52,8 +52,8 @@
     restarting: Cell<bool>,
 }
 
-/// Guard that records the end of an attempt when it is dropped, so that an attempt whose task is aborted with
-/// its endpoint has an end too. Has no effect if an end is already recorded.
+/// Guard that records the end of an attempt when it is dropped, so that the end is also recorded if the task
+/// is aborted with its endpoint. Has no effect if an end is already recorded.
 struct AttemptGuard {
     state: RunState,
     id: AttemptId,
@@ -166,7 +166,7 @@
         });
     }
 
-    /// Closes all connections, drops all reserved state, and starts again after `downtime`.
+    /// Closes all connections, drops all reserved KV caches, and starts again after `downtime`.
     async fn restart(self: &Rc<Self>, downtime: Duration) {
         let task = self.task.borrow_mut().take();
         if let Some(task) = task {
--- a/tests/soak/fault_injection.rs
+++ b/tests/soak/fault_injection.rs
@@ -25,7 +25,7 @@
 const MIN_FAULT_INTERVAL_DIVISOR: u64 = 2;
 /// Largest number by which the mean time between two faults is divided.
 const MAX_FAULT_INTERVAL_DIVISOR: u64 = 12;
-/// Shift of the wall clock, forwards or backwards, in seconds.
+/// Shift of the wall clock, forward or backward, in seconds.
 const CLOCK_SHIFT_SECONDS: i64 = 3_600;
 
 /// A kind of fault.
--- a/tests/soak/replica.rs
+++ b/tests/soak/replica.rs
@@ -19,7 +19,7 @@
 use super::run_state::{Lifecycle, ListedEndpoint, RunState};
 
 /// Time from SIGTERM to SIGKILL: 0.7 s plus the longest request timeout of the clients, which is 4 s here and
-/// never counts as less than 3 s.
+/// counts as at least 3 s.
 const TERMINATION_TIMEOUT: Duration = Duration::from_millis(4_700);
 /// Time within which a started process must report readiness.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
--- a/tests/soak/report.rs
+++ b/tests/soak/report.rs
@@ -50,7 +50,7 @@
     counts
 }
 
-/// Returns the log lines with the id of a request.
+/// Returns the log lines with the ID of a request.
 fn request_trace(request_id: &str, logs: &str) -> String {
     let field = format!("request_id={request_id} ");
     let lines: Vec<_> = logs.lines().filter(|line| format!("{line} ").contains(&field)).collect();
--- a/tests/soak/run_state.rs
+++ b/tests/soak/run_state.rs
@@ -27,7 +27,7 @@
 /// How an attempt ended at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptOutcome {
-    /// The prompt was prefilled, and its state is reserved for the decode.
+    /// The prompt was prefilled, and its KV cache is reserved for the decode attempt.
     Prefilled,
     /// The request was rejected before execution.
     NotStarted,
@@ -88,7 +88,7 @@
     pub(crate) outcome: ResponseOutcome,
 }
 
-/// What happened to one request of a client.
+/// Record of one client request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
     /// Index of the replica that the client is connected to.
@@ -150,14 +150,14 @@
 /// key, so that the order of their output is deterministic.
 #[derive(Default)]
 pub(crate) struct RunRecord {
-    /// Requests by id.
+    /// Requests by ID.
     pub(crate) requests: BTreeMap<String, RequestRecord>,
-    /// The prefill endpoint that holds the reserved state of a request, by request id.
+    /// The prefill endpoint that holds the reserved KV cache of a request, by request ID.
     pub(crate) reservations: HashMap<String, String>,
     /// Since when each replica has known that an endpoint accepts no new attempts, by replica index and
-    /// endpoint id. The entry is removed when the endpoint is published as ready again.
+    /// endpoint ID. The entry is removed when the endpoint is published as ready again.
     pub(crate) unavailable_since: HashMap<usize, HashMap<String, Instant>>,
-    /// The endpoint list by endpoint id, including removed endpoints.
+    /// The endpoint list by endpoint ID, including removed endpoints.
     pub(crate) endpoints: BTreeMap<String, VersionedEndpoint>,
     pub(crate) list_version: u64,
     /// Number of injected faults of each kind.
--- a/tests/soak/verifier.rs
+++ b/tests/soak/verifier.rs
@@ -17,7 +17,7 @@
 /// Time after a replica has learned that an endpoint is draining within which attempts may still arrive
 /// there: the configured `drainGrace` of 500 ms, plus 50 ms of transmission time.
 const MAX_ATTEMPT_DELAY_AFTER_DRAIN: Duration = Duration::from_millis(550);
-/// Time for which state may be reserved at a prefill endpoint with no attempt in flight: the configured
+/// Time for which a KV cache may be reserved at a prefill endpoint with no attempt in flight: the configured
 /// `pinLimit` of 1 s, plus the 0.3 s that the operators allow for socket delays.
 const MAX_RESERVATION: Duration = Duration::from_millis(1_300);
 /// Time after the client's timeout within which a rejection or an error response may still arrive.
@@ -25,14 +25,14 @@
 /// Assumed duration of a reservation whose release is not on record; exceeds any allowed duration.
 const UNRELEASED_RESERVATION_DURATION: Duration = Duration::from_secs(60);
 
-/// Beginning of the message that a replica logs for each accepted request; the request id follows.
+/// Beginning of the message that a replica logs for each accepted request; the request ID follows.
 const ACCEPTED_LOG_PREFIX: &str = "request accepted request_id=";
 /// Marks a log line of a replica that reports a violation.
 const VIOLATION_LOG_MARKER: &str = "violation: ";
 /// Marks a log line of a replica that reports a panic.
 const PANIC_LOG_MARKER: &str = "panicked";
 
-/// The id and the record of a request.
+/// The ID and the record of a request.
 #[derive(Clone, Copy)]
 struct RequestEntry<'a> {
     id: &'a str,
@@ -41,7 +41,7 @@
 
 struct Verifier<'a> {
     record: &'a RunRecord,
-    /// Ids of the requests that the replicas logged as accepted.
+    /// IDs of the requests that the replicas logged as accepted.
     accepted: HashSet<&'a str>,
     /// Tolerated scheduling delay of the test machine, added to each time bound.
     tolerance: Duration,
@@ -64,7 +64,7 @@
     verifier.violations
 }
 
-/// Returns the request id if a log line reports an accepted request.
+/// Returns the request ID if a log line reports an accepted request.
 fn accepted_request_id(line: &str) -> Option<&str> {
     let (_, fields) = line.split_once(ACCEPTED_LOG_PREFIX)?;
     let (id, _) = fields.split_once(' ')?;
@@ -216,8 +216,8 @@
         }
     }
 
-    /// Checks that reserved state is used by an attempt or released in time. Time with an attempt in flight
-    /// does not count.
+    /// Checks that a reserved KV cache is used by an attempt or released in time. Time with an attempt in
+    /// flight does not count.
     fn check_reservations(&mut self, request: RequestEntry<'_>) {
         if request.record.replica_terminated {
             return;
@@ -242,7 +242,8 @@
         self.check_reserved_between(request, prefilled_at, end);
     }
 
-    /// Checks each interval between attempts, up to the attempt that uses the state or prefills it again.
+    /// Checks each interval between attempts, up to the attempt that uses the KV cache or prefills the prompt
+    /// again.
     fn check_used_reservation(
         &mut self, request: RequestEntry<'_>, prefilled_at: Instant, later_attempts: &[Attempt],
     ) {
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Checks an interval in which state is reserved and no attempt is in flight.
+    /// Checks an interval in which a KV cache is reserved and no attempt is in flight.
     fn check_reserved_between(&mut self, request: RequestEntry<'_>, since: Instant, until: Instant) {
         let longest = MAX_RESERVATION + self.tolerance;
         let first_release = first_release(request.record, since);
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -135,7 +135,7 @@
     assert_fails_with(&["--chat", path_argument(&chat_config(&base, &["s1"], bad_id))], "is not a SPIFFE ID");
     let no_files = bad_id.replace("spiffe://Bad/", ALLOWED_ID);
     assert_fails_with(&["--chat", path_argument(&chat_config(&base, &["s1"], &no_files))], "/c: ");
-    assert_fails_with(&["--chat", path_argument(&chat_config(&base, &["s1"], "[colour]"))], "unknown field");
+    assert_fails_with(&["--chat", path_argument(&chat_config(&base, &["s1"], "[color]"))], "unknown field");
     assert_fails_with(
         &["--chat", path_argument(&write_test_file(&base, "odd.toml", "listen = 1"))],
         "odd.toml: ",
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -14,7 +14,7 @@
 use common::router_process::{ExpectedExit, RouterProcess, start_router_with_variables};
 use common::stub_listener::StubListener;
 
-/// Longer than a request, or a start, needs to use up all its attempts without delays between them.
+/// Longer than a request or a startup would need to use up all its attempts without delays between them.
 const FAULT_DURATION: Duration = Duration::from_millis(1_500);
 
 /// Answers the prefill and decode attempts of a request at stubs without open connections, and reads the
@@ -119,7 +119,7 @@
     endpoint_entry(base, "r1", "Ready").replace("\"started_ms\":0", &format!("\"started_ms\":{unix_ms}"))
 }
 
-/// Settings with which a cold endpoint receives almost no requests, and is warm after `milliseconds`.
+/// Returns settings with which a cold endpoint receives almost no requests, and is warm after `milliseconds`.
 fn slow_start_settings(milliseconds: u32) -> [(&'static str, String); 2] {
     [
         ("\"fallMultiple\": 3.0", "\"fallMultiple\": 0.001".to_owned()),
--- a/tests/tenants_and_keys.rs
+++ b/tests/tenants_and_keys.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys, tenants and `Retry-After`, with the settings of other deployments.
+//! Idempotency keys, tenants and `Retry-After`, with settings that differ from the default test
+//! configuration.
 
 mod common;
 
