--- a/tests/scheduler/retries.rs
+++ b/tests/scheduler/retries.rs
@@ -102,10 +102,10 @@
         // prompt must be prefilled again.
         let mut actions = harness.finish_attempt(id, decode, Outcome::Malformed);
         for _ in 0..20 {
-            if let Some(again) = sent_endpoint(&actions) {
+            if let Some(endpoint) = sent_endpoint(&actions) {
                 assert!(
-                    endpoints_of_scope.contains(&again),
-                    "request {id} was sent to endpoint {again}, outside its zone"
+                    endpoints_of_scope.contains(&endpoint),
+                    "request {id} was sent to endpoint {endpoint}, outside its zone"
                 );
                 second_prefills += 1;
                 break;
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -164,13 +164,13 @@
         }
     }
     assert_eq!(body.len(), 5);
-    let signalled_at = Instant::now();
+    let signaled_at = Instant::now();
     router.process.signal("TERM");
     for connection in &mut stopped {
         let answer = connection.read_to_end_or_reset();
         assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
     }
-    assert!(signalled_at.elapsed() < Duration::from_millis(3_000), "{:?}", signalled_at.elapsed());
+    assert!(signaled_at.elapsed() < Duration::from_millis(3_000), "{:?}", signaled_at.elapsed());
     drop(stopped);
     let log = router.process.wait_for_exit(ExpectedExit::Success);
     assert!(log.contains("\"taken\":0,"), "{log}");
--- a/tests/soak/endpoint.rs
+++ b/tests/soak/endpoint.rs
@@ -18,7 +18,7 @@
 const NOT_STARTED_RESPONSE: &str =
     "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 /// Response of a decode endpoint if the request's KV cache is missing.
-const STATE_MISSING_RESPONSE: &str = "HTTP/1.1 410 Gone\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+const KV_CACHE_MISSING_RESPONSE: &str = "HTTP/1.1 410 Gone\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 /// Error response after which the request may have been executed.
 const ERROR_RESPONSE: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
 /// Response that is cut off within its status line.
@@ -278,9 +278,10 @@
     }
 
     async fn decode(&self, request_id: &str, writer: &mut OwnedWriteHalf) -> AttemptResult {
-        let reserved_at = self.state.record.borrow_mut().reservations.remove(request_id);
-        if reserved_at.is_none() {
-            return AttemptResult::respond(writer, STATE_MISSING_RESPONSE, AttemptOutcome::NotStarted).await;
+        let reservation = self.state.record.borrow_mut().reservations.remove(request_id);
+        if reservation.is_none() {
+            return AttemptResult::respond(writer, KV_CACHE_MISSING_RESPONSE, AttemptOutcome::NotStarted)
+                .await;
         }
         self.stream(writer).await
     }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -84,9 +84,9 @@
     let (mut router, _faults) = start_with_fault(&loopback_address(), call_fault("bind", EADDRINUSE, 100));
     router.wait_for_log("cannot listen yet");
     router.signal("TERM");
-    let signalled_at = Instant::now();
+    let signaled_at = Instant::now();
     router.wait_for_exit(ExpectedExit::Success);
-    assert!(signalled_at.elapsed() < Duration::from_secs(8), "{:?}", signalled_at.elapsed());
+    assert!(signaled_at.elapsed() < Duration::from_secs(8), "{:?}", signaled_at.elapsed());
 }
 
 #[test]
