--- a/tests/both_apis.rs
+++ b/tests/both_apis.rs
@@ -94,7 +94,8 @@
 /// Starts an endpoint stub that counts each request that arrives to be answered and closes the connections of
 /// some requests.
 fn start_endpoint_stub(base: &str, name: &'static str, arrivals: ArrivalCounts) {
-    let listener = TcpListener::bind(format!("{base}:{}", stub_port(name))).expect("bind the endpoint stub");
+    let listener =
+        TcpListener::bind(format!("{base}:{}", stub_port(name))).expect("failed to bind the endpoint stub");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
             let arrivals = arrivals.clone();
@@ -105,7 +106,7 @@
 
 fn serve_endpoint_connection(socket: TcpStream, name: &str, arrivals: &ArrivalCounts) {
     let _ = socket.set_nodelay(true);
-    let mut output = socket.try_clone().expect("clone the socket");
+    let mut output = socket.try_clone().expect("failed to clone the socket");
     let mut input = BufReader::new(socket);
     while let Some(message) = Message::read(&mut input) {
         if message.head.starts_with("DELETE") {
@@ -117,7 +118,8 @@
             continue;
         }
         let number = message.request_number();
-        *arrivals.lock().expect("lock the arrival counts").entry(number.to_owned()).or_default() += 1;
+        *arrivals.lock().expect("failed to lock the arrival counts").entry(number.to_owned()).or_default() +=
+            1;
         match number.parse::<u32>().unwrap_or_default() {
             number if CLOSED_BEFORE_FIRST_EVENT.contains(&number) => return,
             number if CLOSED_AFTER_FIRST_EVENT.contains(&number) => {
@@ -166,9 +168,9 @@
 
 fn send_request(base: &str, number: u32) -> ClientResult {
     let (port, text) = request(number);
-    let socket = TcpStream::connect(format!("{base}:{port}")).expect("connect to the router");
-    let mut output = socket.try_clone().expect("clone the socket");
-    output.write_all(text.as_bytes()).expect("send the request");
+    let socket = TcpStream::connect(format!("{base}:{port}")).expect("failed to connect to the router");
+    let mut output = socket.try_clone().expect("failed to clone the socket");
+    output.write_all(text.as_bytes()).expect("failed to send the request");
     let mut input = BufReader::new(socket);
     let Some(answer) = Message::read(&mut input) else { return ClientResult::ConnectionLost };
     // Exactly one final answer: nothing may follow on this connection.
@@ -200,7 +202,7 @@
             })
         })
         .collect();
-    clients.into_iter().map(|client| client.join().expect("join the client thread")).collect()
+    clients.into_iter().map(|client| client.join().expect("the client thread panicked")).collect()
 }
 
 fn assert_result(number: u32, result: &ClientResult, arrivals: u32) {
@@ -227,8 +229,9 @@
 /// answer.
 fn assert_counters(log: &str, api: &str) {
     let prefix = format!("final counters api=\"{api}\" counters=");
-    let line = log.lines().find_map(|line| line.split_once(&prefix)).expect("final counters in the log").1;
-    let counters: HashMap<String, u32> = serde_json::from_str(line).expect("parse the counters as JSON");
+    let line = log.lines().find_map(|line| line.split_once(&prefix)).expect("no final counters in the log").1;
+    let counters: HashMap<String, u32> =
+        serde_json::from_str(line).expect("failed to parse the counters as JSON");
     let names = ["served", "broken", "refused", "failed", "overdue", "left"];
     let final_answers: u32 = names.iter().map(|name| counters[*name]).sum();
     assert_eq!((counters["taken"], final_answers), (REQUESTS / 2, REQUESTS / 2), "{line}");
@@ -251,7 +254,7 @@
     router.wait_for_log("ready endpoint_list=\"discovery\"");
     let results = send_requests(&base);
     let log = router.terminate();
-    let arrivals = arrivals.lock().expect("lock the arrival counts");
+    let arrivals = arrivals.lock().expect("failed to lock the arrival counts");
     for (number, result) in &results {
         assert_result(*number, result, arrivals.get(&number.to_string()).copied().unwrap_or(0));
     }
--- a/tests/client_connection.rs
+++ b/tests/client_connection.rs
@@ -57,7 +57,7 @@
     while !String::from_utf8_lossy(&text).ends_with(RESPONSE_BODY) {
         let read = timeout(WAIT_TIMEOUT, client.read_buf(&mut text))
             .await
-            .expect("data or end of stream before the timeout");
+            .expect("no data or end of stream before the timeout");
         assert_ne!(
             read.expect("pipe is open"),
             0,
@@ -79,7 +79,7 @@
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("runtime is built"), test);
+    LocalSet::new().block_on(&runtime.expect("failed to build the runtime"), test);
 }
 
 #[test]
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -72,7 +72,7 @@
     let Ok(occupying) = context.upstream.pool().connection(EndpointId(PREFILL)).await else {
         panic!("cannot connect to the listener");
     };
-    let _ = listener.accept().await.expect("accept the connection that occupies the pool");
+    let _ = listener.accept().await.expect("failed to accept the connection that occupies the pool");
     occupying
 }
 
@@ -93,7 +93,7 @@
 
 /// Disconnects the client of a request that waits for a connection. Returns the bytes that were written.
 async fn disconnect_while_waiting_for_a_connection() -> Vec<u8> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind to a free port");
     let context = routing_context(&listener);
     let occupying = occupy_pool(&context, &listener).await;
     let (responder, response) = Responder::new();
@@ -118,9 +118,9 @@
 /// Disconnects the client of a request whose connection does not complete its handshake. Returns the bytes
 /// that were written.
 async fn disconnect_while_waiting_for_a_handshake() -> Vec<u8> {
-    let socket = TcpSocket::new_v4().expect("create a socket");
-    socket.bind(([127, 0, 0, 1], 0).into()).expect("bind to a free port");
-    let listener = socket.listen(BACKLOG).expect("listener is bound");
+    let socket = TcpSocket::new_v4().expect("failed to create a socket");
+    socket.bind(([127, 0, 0, 1], 0).into()).expect("failed to bind to a free port");
+    let listener = socket.listen(BACKLOG).expect("failed to listen");
     let addr = listener.local_addr().expect("listener is bound");
     // These connections are never accepted and fill the listener's queue, which holds one more than its
     // backlog, so the next handshake stays incomplete.
@@ -151,7 +151,7 @@
 async fn change_while_waiting(
     start_deadline: Option<Instant>, change: impl FnOnce(&RoutingContext),
 ) -> (Outcome, Vec<u8>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind to a free port");
     let context = routing_context(&listener);
     let occupying = occupy_pool(&context, &listener).await;
     let upstream = context.upstream.clone();
@@ -191,8 +191,10 @@
 }
 
 fn run<T>(test: impl Future<Output = T>) -> T {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime is built");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("failed to build the runtime");
     LocalSet::new().block_on(&runtime, test)
 }
 
@@ -230,13 +232,14 @@
 #[test]
 fn an_attempt_waits_for_a_connection_no_longer_than_its_start_deadline() {
     let outcome = run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind to a free port");
         let context = routing_context(&listener);
         // Neither end of the pool's only connection is closed during this test.
         let Ok(_occupying) = context.upstream.pool().connection(EndpointId(PREFILL)).await else {
             panic!("cannot connect to the listener");
         };
-        let _accepted = listener.accept().await.expect("accept the connection that occupies the pool");
+        let _accepted =
+            listener.accept().await.expect("failed to accept the connection that occupies the pool");
         let gate = SendGate::new(context.counters.clone());
         let start_deadline = Some(Instant::now() + Duration::from_millis(50));
         let deadlines = AttemptDeadlines {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -22,14 +22,14 @@
 
 /// Accepts one call to discovery without answering it.
 fn accept_call(listener: &TcpListener) -> DiscoveryCall {
-    let (socket, _) = listener.accept().expect("discovery call");
-    let mut lines = BufReader::new(socket.try_clone().expect("clone socket"));
+    let (socket, _) = listener.accept().expect("failed to accept a discovery call");
+    let mut lines = BufReader::new(socket.try_clone().expect("failed to clone the socket"));
     let mut request_line = String::new();
-    lines.read_line(&mut request_line).expect("read request line");
+    lines.read_line(&mut request_line).expect("failed to read the request line");
     let mut line = String::new();
     while line != "\r\n" {
         line.clear();
-        lines.read_line(&mut line).expect("read request head");
+        lines.read_line(&mut line).expect("failed to read the request head");
     }
     DiscoveryCall { request_line: request_line.trim_end().to_owned(), socket }
 }
@@ -37,9 +37,9 @@
 #[test]
 fn a_start_with_a_known_endpoint_list_opens_one_watch_and_waits_for_its_answer() {
     let base = loopback_address();
-    let listener = TcpListener::bind(format!("{base}:8500")).expect("bind discovery address");
+    let listener = TcpListener::bind(format!("{base}:8500")).expect("failed to bind the discovery address");
     let config = platform_config(&base);
-    let text = std::fs::read_to_string(&config).expect("read configuration");
+    let text = std::fs::read_to_string(&config).expect("failed to read the configuration");
     // With `ask`, one discovery service serves all replicas. With `push`, a local agent serves only this
     // replica.
     let text = text.replace("\"membershipMode\": \"push\"", "\"membershipMode\": \"ask\"");
@@ -54,7 +54,8 @@
     let draining = endpoint_entry(&base, "w1", "Terminating");
     let change = endpoint_list(42, false, &[draining]) + "\n";
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    write!(call.socket, "{head}{:x}\r\n{change}\r\n", change.len()).expect("write discovery response");
+    write!(call.socket, "{head}{:x}\r\n{change}\r\n", change.len())
+        .expect("failed to write the discovery response");
     router.wait_for_log("endpoint=w1 state=Terminating");
     router.wait_for_log("ready endpoint_list=\"discovery\"");
     let log = router.terminate();
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -34,7 +34,7 @@
     let mut rest = text.as_str();
     for end in ["\"version\":2", "\"full\":fal", "\"id\":\"w", "Term", "\"weight\":1.", ",\"started_ms\":"] {
         let (piece, remaining) =
-            rest.split_at(rest.find(end).expect("split point in the rest of the text") + end.len());
+            rest.split_at(rest.find(end).expect("no split point in the rest of the text") + end.len());
         router.watch.send(piece);
         round_trip(&base);
         rest = remaining;
@@ -109,8 +109,9 @@
     let mut router = start_router(&base, &["w1"], &[]);
     let path = test_dir(&base).join("config.json");
     let moved = format!("{base}:{}", stub_port("moved"));
-    let text =
-        std::fs::read_to_string(&path).expect("read configuration").replace(&format!("{base}:8500"), &moved);
+    let text = std::fs::read_to_string(&path)
+        .expect("failed to read the configuration")
+        .replace(&format!("{base}:8500"), &moved);
     let mut moved_discovery = DiscoveryStub::start_at(&base, "moved");
     write_test_file(&base, "config.json", &text[..text.len() / 2]);
     router.process.signal("HUP");
--- a/tests/paused_process.rs
+++ b/tests/paused_process.rs
@@ -86,8 +86,8 @@
     let prefill_stub = StubListener::endpoint(&base, "r1");
     let decode_stub = StubListener::endpoint(&base, "w1");
     let _silent = StubListener::bind(&format!("{base}:8500"));
-    let text =
-        std::fs::read_to_string(platform_config_with_replacements(&base, &[])).expect("read configuration");
+    let text = std::fs::read_to_string(platform_config_with_replacements(&base, &[]))
+        .expect("failed to read the configuration");
     let entries = [endpoint_entry(&base, "r1", "Ready"), endpoint_entry(&base, "w1", "Ready")];
     let known = format!("\"known\":{},\"settings\"", endpoint_list(41, true, &entries));
     let path = write_test_file(&base, "config.json", &text.replace("\"settings\"", &known));
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -134,7 +134,7 @@
     sleep_until(load_end).await;
     sleep(SETTLING_TIME).await;
     if replicas.iter().any(|replica| !replica.watches_endpoint_list()) {
-        state.record_violation("replica has no open watch of the endpoint list");
+        state.record_violation("replica has no open watch on the endpoint list");
     }
     finish_replicas(replicas).await
 }
--- a/tests/spiffe.rs
+++ b/tests/spiffe.rs
@@ -20,10 +20,10 @@
 }
 
 fn create_authority() -> Authority {
-    let key = KeyPair::generate().expect("generate a key");
-    let mut params = CertificateParams::new(Vec::new()).expect("create certificate parameters");
+    let key = KeyPair::generate().expect("failed to generate a key");
+    let mut params = CertificateParams::new(Vec::new()).expect("failed to create certificate parameters");
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-    let signed = params.self_signed(&key).expect("sign the CA certificate");
+    let signed = params.self_signed(&key).expect("failed to sign the CA certificate");
     let certificate = signed.der().clone();
     let pem = signed.pem();
     Authority { issuer: Issuer::new(params, key), certificate, pem }
@@ -38,28 +38,31 @@
 
 /// Creates an identity whose certificate contains these URIs.
 fn create_identity(authority: &Authority, uris: &[&str]) -> Identity {
-    let key = KeyPair::generate().expect("generate a key");
-    let mut params = CertificateParams::new(vec!["chat".into()]).expect("create certificate parameters");
+    let key = KeyPair::generate().expect("failed to generate a key");
+    let mut params =
+        CertificateParams::new(vec!["chat".into()]).expect("failed to create certificate parameters");
     params
         .subject_alt_names
         .extend(uris.iter().map(|uri| SanType::URI((*uri).try_into().expect("valid URI"))));
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ClientAuth, ExtendedKeyUsagePurpose::ServerAuth];
-    let signed = params.signed_by(&key, &authority.issuer).expect("sign the certificate");
+    let signed = params.signed_by(&key, &authority.issuer).expect("failed to sign the certificate");
     Identity { pem: signed.pem(), certificate: signed.der().clone(), key }
 }
 
 /// Sends `GET /v1/models` with this identity and returns the response, or the error if there is none.
 fn get_models(address: &str, trusted: &Authority, identity: Option<Identity>) -> std::io::Result<String> {
     let mut roots = RootCertStore::empty();
-    roots.add(trusted.certificate.clone()).expect("add the root certificate");
+    roots.add(trusted.certificate.clone()).expect("failed to add the root certificate");
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
     let config = config.expect("supported TLS versions").with_root_certificates(roots);
     let config = match identity {
         Some(identity) => {
-            let key = PrivateKeyDer::try_from(identity.key.serialize_der()).expect("parse the key");
-            config.with_client_auth_cert(vec![identity.certificate], key).expect("use the client certificate")
+            let key = PrivateKeyDer::try_from(identity.key.serialize_der()).expect("failed to parse the key");
+            config
+                .with_client_auth_cert(vec![identity.certificate], key)
+                .expect("failed to use the client certificate")
         }
         None => config.with_no_client_auth(),
     };
@@ -95,10 +98,11 @@
     let get_models_as = |authority: &Authority, uris: &[&str]| {
         get_models(&chat_address, &trusted_authority, Some(create_identity(authority, uris)))
     };
-    let served = get_models_as(&trusted_authority, &[ALLOWED_ID]).expect("response for an allowed identity");
+    let served =
+        get_models_as(&trusted_authority, &[ALLOWED_ID]).expect("no response for an allowed identity");
     assert!(served.starts_with("HTTP/1.1 200 OK") && served.contains("climb-assist"), "{served}");
     let denied = get_models_as(&trusted_authority, &["spiffe://hanbit.example/partner/other"])
-        .expect("response for a denied identity");
+        .expect("no response for a denied identity");
     assert!(denied.starts_with("HTTP/1.1 403") && denied.contains("identity_not_allowed"), "{denied}");
     // Not answered: no URI, two URIs, a URI that is not a SPIFFE ID, an untrusted authority, no certificate.
     assert!(get_models_as(&trusted_authority, &[]).is_err());
@@ -114,8 +118,8 @@
         get_models_as(&other_authority, &[ALLOWED_ID]).is_ok_and(|text| text.starts_with("HTTP/1.1 200 OK"))
     );
     // Without TLS there is no HTTP response either.
-    let mut plain = TcpStream::connect(&chat_address).expect("connect to the router");
-    plain.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\n\r\n").expect("send the request");
+    let mut plain = TcpStream::connect(&chat_address).expect("failed to connect to the router");
+    plain.write_all(b"GET /v1/models HTTP/1.1\r\nHost: chat\r\n\r\n").expect("failed to send the request");
     let mut text = Vec::new();
     let _ = plain.read_to_end(&mut text);
     assert!(!text.starts_with(b"HTTP"), "{}", String::from_utf8_lossy(&text));
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -110,7 +110,8 @@
 
 /// Returns the current Unix time in milliseconds.
 fn unix_ms() -> i64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("clock after 1970");
+    let since =
+        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("the clock is before 1970");
     i64::try_from(since.as_millis()).expect("Unix time fits in 64 bits")
 }
 
--- a/tests/tenants_and_keys.rs
+++ b/tests/tenants_and_keys.rs
@@ -72,7 +72,7 @@
     let mut first_ids: Vec<String> = Vec::new();
     for _ in 0..4 {
         let received = prefill_stub.accept().read_message();
-        first_ids.push(received.header("request-id").expect("Request-Id header").to_owned());
+        first_ids.push(received.header("request-id").expect("no Request-Id header").to_owned());
     }
     first_ids.sort();
     assert_eq!(
