--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists and configuration files that are split, contain malformed records, or are incomplete.
+//! Endpoint lists and configuration files that are split, contain malformed entries, or are incomplete.
 
 mod common;
 
@@ -15,7 +15,7 @@
 
 use inference_router::discovery::endpoint_list::ListReader;
 
-/// Exchanges a request with the router. Afterwards it has read all data that was sent to it before.
+/// Exchanges a request with the router, which has then read all data that was sent to it before.
 fn round_trip(base: &str) {
     let mut other = connect_client(base);
     other.send(READINESS_REQUEST);
@@ -34,7 +34,7 @@
     let mut rest = text.as_str();
     for end in ["\"version\":2", "\"full\":fal", "\"id\":\"w", "Term", "\"weight\":1.", ",\"started_ms\":"] {
         let (piece, remaining) =
-            rest.split_at(rest.find(end).expect("split point in the rest of the text") + end.len());
+            rest.split_at(rest.find(end).expect("no split point in the rest of the text") + end.len());
         router.watch.send(piece);
         round_trip(&base);
         rest = remaining;
@@ -73,7 +73,7 @@
     router.process.terminate();
     assert!(
         prefill_stub.has_no_unaccepted_connection(),
-        "a request was sent to an endpoint with a malformed record"
+        "a request was sent to an endpoint with a malformed entry"
     );
 }
 
@@ -109,8 +109,9 @@
     let mut router = start_router(&base, &["w1"], &[]);
     let path = test_dir(&base).join("config.json");
     let moved = format!("{base}:{}", stub_port("moved"));
-    let text =
-        std::fs::read_to_string(&path).expect("read configuration").replace(&format!("{base}:8500"), &moved);
+    let text = std::fs::read_to_string(&path)
+        .expect("failed to read the configuration")
+        .replace(&format!("{base}:8500"), &moved);
     let mut moved_discovery = DiscoveryStub::start_at(&base, "moved");
     write_test_file(&base, "config.json", &text[..text.len() / 2]);
     router.process.signal("HUP");
--- a/tests/scheduler/retries.rs
+++ b/tests/scheduler/retries.rs
@@ -16,7 +16,7 @@
     settings
 }
 
-/// A harness in which the first decode attempt of request 1 timed out, and the resulting actions.
+/// Returns a harness in which the first decode attempt of request 1 timed out, and the resulting actions.
 pub(crate) fn after_decode_timeout(
     idempotency: Idempotency, endpoints: &[EndpointUpdate],
 ) -> (SchedulerHarness, Vec<Action>) {
@@ -102,10 +102,10 @@
         // prompt must be prefilled again.
         let mut actions = harness.finish_attempt(id, decode, Outcome::Malformed);
         for _ in 0..20 {
-            if let Some(again) = sent_endpoint(&actions) {
+            if let Some(endpoint) = sent_endpoint(&actions) {
                 assert!(
-                    endpoints_of_scope.contains(&again),
-                    "request {id} was sent to endpoint {again}, outside its zone"
+                    endpoints_of_scope.contains(&endpoint),
+                    "request {id} was sent to endpoint {endpoint}, outside its zone"
                 );
                 second_prefills += 1;
                 break;
@@ -164,8 +164,8 @@
     }
 }
 
-/// The actions for a request whose first decode endpoint may have executed it and was then removed, once a
-/// connection to the second one has failed.
+/// Returns the actions for a request whose first decode endpoint may have executed it and was then removed,
+/// once a connection to the second one has failed.
 fn actions_after_first_endpoint_was_removed(scope: DeduplicationScope) -> Vec<Action> {
     let endpoints = [
         endpoint_update(PREFILL, 0),
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -14,7 +14,7 @@
 use common::router_process::{ExpectedExit, RouterProcess, start_router_with_variables};
 use common::stub_listener::StubListener;
 
-/// Longer than a request, or a start, needs to use up all its attempts without delays between them.
+/// Longer than a request or a startup would need to use up all its attempts without delays between them.
 const FAULT_DURATION: Duration = Duration::from_millis(1_500);
 
 /// Answers the prefill and decode attempts of a request at stubs without open connections, and reads the
@@ -84,9 +84,9 @@
     let (mut router, _faults) = start_with_fault(&loopback_address(), call_fault("bind", EADDRINUSE, 100));
     router.wait_for_log("cannot listen yet");
     router.signal("TERM");
-    let signalled_at = Instant::now();
+    let signaled_at = Instant::now();
     router.wait_for_exit(ExpectedExit::Success);
-    assert!(signalled_at.elapsed() < Duration::from_secs(8), "{:?}", signalled_at.elapsed());
+    assert!(signaled_at.elapsed() < Duration::from_secs(8), "{:?}", signaled_at.elapsed());
 }
 
 #[test]
@@ -110,7 +110,8 @@
 
 /// Returns the current Unix time in milliseconds.
 fn unix_ms() -> i64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("clock after 1970");
+    let since =
+        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("the clock is before 1970");
     i64::try_from(since.as_millis()).expect("Unix time fits in 64 bits")
 }
 
@@ -119,7 +120,7 @@
     endpoint_entry(base, "r1", "Ready").replace("\"started_ms\":0", &format!("\"started_ms\":{unix_ms}"))
 }
 
-/// Settings with which a cold endpoint receives almost no requests, and is warm after `milliseconds`.
+/// Returns settings with which a cold endpoint receives almost no requests, and is warm after `milliseconds`.
 fn slow_start_settings(milliseconds: u32) -> [(&'static str, String); 2] {
     [
         ("\"fallMultiple\": 3.0", "\"fallMultiple\": 0.001".to_owned()),
