--- a/src/config/pool.rs
+++ b/src/config/pool.rs
@@ -12,12 +12,12 @@
 /// before the endpoint does avoids requests that race with its close and fail with a connection reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.5;
 
-/// Default time limit for connecting to an endpoint, in milliseconds.
+/// Returns the default time limit for connecting to an endpoint, in milliseconds.
 pub(super) fn default_connect_timeout_ms() -> f64 {
     250.0
 }
 
-/// Default idle time after which an endpoint closes a connection, in milliseconds.
+/// Returns the default idle time after which an endpoint closes a connection, in milliseconds.
 pub(super) fn default_idle_close_ms() -> f64 {
     30_000.0
 }
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -72,7 +72,7 @@
     settings_from_options(&options)
 }
 
-/// Like [`parse_settings`], for an object that is already deserialized.
+/// Validates and converts a settings object that is already deserialized. See [`parse_settings`].
 pub(crate) fn settings_from_options(options: &Options) -> Result<NamedSettings, SettingsError> {
     let kinds = endpoint_kinds(&options.kinds, &options.family)?;
     if options.replicas == 0 {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -160,7 +160,7 @@
         counter.increment();
     }
 
-    /// Periodically logs the counter increases since the previous log line. Intervals without any are
+    /// Logs the counter increases since the previous log line at regular intervals. Intervals without any are
     /// skipped.
     pub async fn log_periodically(self: Rc<Self>, api: &'static str) {
         let mut previous = self.all();
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -93,8 +93,8 @@
         None
     }
 
-    /// Ends the task: checks that the client was answered and waits until nothing is reserved any more. The
-    /// scheduler is notified of the task's end only after that.
+    /// Ends the task: checks that the client was answered and waits until nothing is reserved. The scheduler
+    /// is notified of the task's end only after that.
     pub(super) async fn finish(self) {
         if self.responder.client_is_waiting() {
             self.context.counters.violations_unanswered.increment();
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -43,8 +43,8 @@
         self.query_prefill_queues(now, spec.id, actions);
     }
 
-    /// Whether the deployment allows enough attempts for a separate prefill and decode, or has a kind of
-    /// endpoint that does both in one attempt.
+    /// Returns whether the deployment allows enough attempts for a separate prefill and decode, or has a kind
+    /// of endpoint that does both in one attempt.
     fn can_serve_requests(&self) -> bool {
         let capabilities = &self.settings.capabilities;
         let mut roles = self.settings.kinds.iter().map(|kind| kind.role);
@@ -136,8 +136,8 @@
         self.send(now, id, prefill, expected, actions);
     }
 
-    /// Expected microseconds for the prefill if none of the prompt is cached. A cache miss alone must not
-    /// make the attempt time out.
+    /// Returns the expected prefill time in microseconds if none of the prompt is cached. A cache miss alone
+    /// must not make the attempt time out.
     fn expected_prefill_time(&self, now: Micros, id: RequestId, prefill: EndpointId) -> f64 {
         let request = &self.requests[&id];
         let cached_tokens = (request.spec.prompt_tokens - request.uncached_tokens).max(0.0);
--- a/src/scheduler/arrival_rate.rs
+++ b/src/scheduler/arrival_rate.rs
@@ -28,7 +28,7 @@
         self.count.add_occurrence(now);
     }
 
-    /// Arrivals per microsecond, scaled up while the averaging window is only partly covered.
+    /// Returns the arrivals per microsecond, scaled up while the averaging window is only partly covered.
     fn per_microsecond(&self, now: Micros) -> f64 {
         let started_at = self.started_at.unwrap_or(now);
         let observed_fraction = 1.0 - 0.5f64.powf((now - started_at) as f64 / HALF_LIFE_US);
@@ -37,7 +37,8 @@
 }
 
 impl Scheduler {
-    /// Arrivals per microsecond at this replica, divided by the number of ready endpoints in the pool.
+    /// Returns the arrivals per microsecond at this replica, divided by the number of ready endpoints in the
+    /// pool.
     pub(super) fn arrival_rate_per_endpoint(&self, now: Micros, pool: Pool) -> f64 {
         self.arrivals.per_microsecond(now) / self.ready_endpoints.of(pool).max(1) as f64
     }
--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -48,8 +48,8 @@
         self.send(now, id, decode, expected, actions);
     }
 
-    /// Expected microseconds until the first token at a decode endpoint, including the prefill if it has to
-    /// be done there.
+    /// Returns the expected microseconds until the first token at a decode endpoint, including the prefill if
+    /// it has to be done there.
     fn expected_first_token_time(&self, now: Micros, request: &Request, decode: &EndpointState) -> f64 {
         let prefill_time = match request.reservation() {
             Some(_) => 0.0,
@@ -269,8 +269,8 @@
     }
 }
 
-/// The attempt's timeout in microseconds; short enough that another attempt fits after an unresponsive
-/// endpoint.
+/// Returns the attempt's timeout in microseconds, short enough that another attempt fits after an
+/// unresponsive endpoint.
 fn attempt_timeout(expected: f64, time_left: f64) -> Micros {
     let share = time_left * MAX_ATTEMPT_FRACTION;
     let max_timeout = if share > expected * MIN_TIMEOUT_MULTIPLE { share } else { time_left };
--- a/src/scheduler/decaying_average.rs
+++ b/src/scheduler/decaying_average.rs
@@ -29,12 +29,12 @@
         DecayingAverage { value, updated_at: Micros::MIN / 2 }
     }
 
-    /// The value as of its last update.
+    /// Returns the value as of the last update.
     pub(super) fn last_value(self) -> f64 {
         self.value
     }
 
-    /// The value at `now`, decayed towards `baseline`.
+    /// Returns the value at `now`, decayed toward `baseline`.
     pub(super) fn value_at(self, now: Micros, baseline: f64) -> f64 {
         baseline + (self.value - baseline) * 0.5f64.powf((now - self.updated_at) as f64 / HALF_LIFE_US)
     }
--- a/src/scheduler/decode_capacity.rs
+++ b/src/scheduler/decode_capacity.rs
@@ -26,7 +26,7 @@
 }
 
 impl CapacityCheck {
-    /// The check for a waiting request. The first token is due at the objective or, for a best-effort
+    /// Creates the check for a waiting request. The first token is due at the objective or, for a best-effort
     /// request, at the deadline.
     pub(super) fn new(request: &Request, cache_ready_in: f64) -> Self {
         let best_effort = matches!(request.state, RequestState::Queued(Tier::BestEffort));
@@ -36,9 +36,9 @@
 }
 
 impl Scheduler {
-    /// The fraction of capacity that would remain at a decode endpoint with this request added. With a check,
-    /// returns `None` unless the endpoint meets the objectives of all its streams, has enough memory and can
-    /// produce the first token in time.
+    /// Returns the fraction of capacity that would remain at a decode endpoint with this request added. With
+    /// a check, returns `None` unless the endpoint meets the objectives of all its streams, has enough memory
+    /// and can produce the first token in time.
     pub(super) fn headroom(
         &self, now: Micros, request: &Request, endpoint: &EndpointState, check: Option<CapacityCheck>,
     ) -> Option<f64> {
@@ -57,8 +57,8 @@
         Some(1.0 - latency_utilization.max(memory_utilization).min(MAX_UTILIZATION))
     }
 
-    /// Expected inter-token latency with this request added, relative to the strictest objective among the
-    /// endpoint's streams.
+    /// Returns the expected inter-token latency with this request added, relative to the strictest objective
+    /// among the endpoint's streams.
     fn latency_utilization(&self, now: Micros, request: &Request, endpoint: &EndpointState) -> f64 {
         let is_new_stream = !endpoint.streams.contains(&request.id());
         let streams = self.stream_count(now, endpoint) + if is_new_stream { 1.0 } else { 0.0 };
@@ -68,7 +68,7 @@
         latency / (objectives.fold(request.inter_token_objective, f64::min) * TARGET_LATENCY_UTILIZATION)
     }
 
-    /// KV cache memory in use with this request added, as a fraction of the target.
+    /// Returns the KV cache memory in use with this request added, as a fraction of the target.
     fn memory_utilization(&self, now: Micros, request: &Request, endpoint: &EndpointState) -> f64 {
         let is_new_stream = !endpoint.streams.contains(&request.id());
         let added_tokens = if is_new_stream { request.footprint_tokens } else { 0.0 };
@@ -77,20 +77,20 @@
         tokens / (endpoint.memory_tokens * TARGET_MEMORY_UTILIZATION).max(1.0)
     }
 
-    /// Number of streams at a decode endpoint: this replica's own, plus an estimate of the other replicas'
-    /// streams from the memory that they use.
+    /// Returns the number of streams at a decode endpoint: this replica's own, plus an estimate of the other
+    /// replicas' streams from the memory that they use.
     pub(super) fn stream_count(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let external = self.external_tokens(now, endpoint) / self.estimates.request_footprint.max(1.0);
         endpoint.streams.len() as f64 + external
     }
 
-    /// This replica's requests that are assigned to a decode endpoint.
+    /// Returns this replica's requests that are assigned to a decode endpoint.
     pub(super) fn own_streams(&self, endpoint: &EndpointState) -> impl Iterator<Item = &Request> {
         endpoint.streams.iter().filter_map(|id| self.requests.get(id))
     }
 
-    /// Estimated tokens of other replicas' requests at a decode endpoint: the last reported value, decaying
-    /// towards the fleet mean.
+    /// Returns the estimated tokens of other replicas' requests at a decode endpoint: the last reported
+    /// value, decaying toward the fleet mean.
     fn external_tokens(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let mean = if endpoint.memory_tokens.is_finite() {
             self.estimates.external_fraction * endpoint.memory_tokens
--- a/src/scheduler/decode_selection.rs
+++ b/src/scheduler/decode_selection.rs
@@ -55,8 +55,8 @@
         scored.max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 
-    /// The endpoint's score in the weighted draw, or `None` if it fails the check. An endpoint without
-    /// headroom scores below every endpoint that has some.
+    /// Returns the endpoint's score in the weighted draw, or `None` if it fails the check. An endpoint
+    /// without headroom scores below every endpoint that has some.
     fn decode_score(&self, criteria: &DecodeCriteria<'_>, endpoint: &EndpointState) -> Option<f64> {
         let request = criteria.request;
         let headroom = self.headroom(criteria.now, request, endpoint, criteria.check)?;
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Whether a KV cache must be released because no further attempt could use it in time.
+    /// Returns whether a KV cache must be released because no further attempt could use it in time.
     fn must_release(&self, now: Micros, request: &Request, reservation: CacheReservation) -> bool {
         request.attempts() >= self.settings.capabilities.max_attempts
             || now >= request.deadline - FINAL_ANSWER_MARGIN
             || self.reserved_fraction(now, reservation) >= RELEASE_FRACTION
     }
 
-    /// Time for which a KV cache has been reserved, as a fraction of the reservation limit.
+    /// Returns the time for which a KV cache has been reserved, as a fraction of the reservation limit.
     fn reserved_fraction(&self, now: Micros, reservation: CacheReservation) -> f64 {
         let reserved_for = (now - reservation.reserved_since) as f64;
         reserved_for / self.settings.rules.reservation_limit.max(1) as f64
@@ -172,8 +172,8 @@
     }
 }
 
-/// Weight of a decode endpoint by its distance from the KV cache. Transfers to other cells favour cells with
-/// spare decode capacity, mostly in the same zone.
+/// Returns the weight of a decode endpoint by its distance from the KV cache. Transfers to other cells favor
+/// cells with spare decode capacity, mostly in the same zone.
 fn locality_weight(prefill: &EndpointState, decode: &EndpointState) -> f64 {
     if prefill.cell == decode.cell {
         1.0
--- a/src/scheduler/eligibility.rs
+++ b/src/scheduler/eligibility.rs
@@ -6,7 +6,7 @@
 use super::request::Request;
 
 impl Scheduler {
-    /// Whether the endpoint may currently be sent the request, as far as this replica knows.
+    /// Returns whether the endpoint may currently be sent the request, as far as this replica knows.
     pub(super) fn is_eligible(&self, now: Micros, endpoint: &EndpointState, request: &Request) -> bool {
         let reachable = request
             .locally_unreachable
@@ -26,8 +26,8 @@
     }
 }
 
-/// Whether an attempt is in flight at an endpoint that has failed. Such an endpoint gets one attempt at a
-/// time until one succeeds, like a half-open circuit breaker.
+/// Returns whether an attempt is in flight at an endpoint that has failed. Such an endpoint gets one attempt
+/// at a time until one succeeds, like a half-open circuit breaker.
 fn has_trial_in_flight(endpoint: &EndpointState) -> bool {
     endpoint.consecutive_failures > 0 && !endpoint.pending_attempts.is_empty()
 }
--- a/src/scheduler/endpoint.rs
+++ b/src/scheduler/endpoint.rs
@@ -98,22 +98,23 @@
         }
     }
 
-    /// Whether the endpoint accepts new work according to the endpoint list.
+    /// Returns whether the endpoint accepts new work according to the endpoint list.
     pub(super) fn is_ready(&self) -> bool {
         self.lifecycle == Lifecycle::Ready
     }
 
-    /// Whether the endpoint was removed from the list and this replica has nothing in flight there.
+    /// Returns whether the endpoint was removed from the list and this replica has nothing in flight there.
     pub(super) fn is_removable(&self) -> bool {
         self.lifecycle == Lifecycle::Removed && self.streams.is_empty() && self.pending_attempts.is_empty()
     }
 
-    /// Microseconds since the oldest attempt that still waits for its first response was sent.
+    /// Returns the age in microseconds of the oldest attempt that still waits for its first response, or zero
+    /// if there is none.
     pub(super) fn oldest_pending_age(&self, now: Micros) -> f64 {
         self.pending_attempts.values().min().map_or(0.0, |&sent_at| (now - sent_at) as f64)
     }
 
-    /// Prompt tokens of the request expected in the endpoint's cache.
+    /// Returns the number of the request's prompt tokens that are expected in the endpoint's cache.
     pub(super) fn cached_tokens(&self, spec: &RequestSpec) -> f64 {
         let cached = |key: Option<CacheKey>| {
             key.and_then(|key| self.cached_prefixes.get(&key)).copied().unwrap_or(0.0)
--- a/src/scheduler/estimates.rs
+++ b/src/scheduler/estimates.rs
@@ -59,15 +59,15 @@
 }
 
 impl Scheduler {
-    /// Expected microseconds until the first token of an attempt at a decode endpoint; at least as long as
-    /// the oldest pending attempt there has waited.
+    /// Returns the expected microseconds until the first token of an attempt at a decode endpoint; at least
+    /// as long as the oldest pending attempt there has waited.
     pub(super) fn first_token_time(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let fleet = self.estimates.first_token_latency.last_value();
         endpoint.first_token_latency.value_at(now, fleet).max(endpoint.oldest_pending_age(now))
     }
 
-    /// Expected microseconds until an endpoint has prefilled the prompt, including this replica's earlier
-    /// prefills there; at least as long as the oldest pending attempt there has waited.
+    /// Returns the expected microseconds until an endpoint has prefilled the prompt, including this replica's
+    /// earlier prefills there; at least as long as the oldest pending attempt there has waited.
     pub(super) fn prefill_time(&self, now: Micros, endpoint: &EndpointState, request: &Request) -> f64 {
         let cost = self.estimates.prefill_cost_per_token / endpoint.warmup_factor(now, &self.settings.rules);
         let wait = self.prefill_queue_time(now, endpoint, cost);
@@ -76,8 +76,8 @@
         (wait + tokens * cost).max(endpoint.oldest_pending_age(now))
     }
 
-    /// Expected microseconds of queued prefills from other replicas, from a recent load report or otherwise
-    /// from earlier prefills.
+    /// Returns the expected microseconds of queued prefills from other replicas, from a recent load report or
+    /// otherwise from earlier prefills.
     fn prefill_queue_time(&self, now: Micros, endpoint: &EndpointState, cost: f64) -> f64 {
         let report_age = now - endpoint.queue_reported_at;
         let wait = if report_age < LOAD_REPORT_LIFETIME {
@@ -92,15 +92,15 @@
         wait + if query_unanswered { UNRESPONSIVE_ALLOWANCE_US } else { 0.0 }
     }
 
-    /// Tokens of this replica's prefills in flight at an endpoint.
+    /// Returns the tokens of this replica's prefills in flight at an endpoint.
     pub(super) fn own_prefill_tokens(&self, endpoint: &EndpointState) -> f64 {
         let pending = endpoint.pending_attempts.keys().filter_map(|id| self.requests.get(id));
         let prefills = pending.filter(|request| request.is_prefilling());
         prefills.map(|request| request.uncached_tokens + PREFILL_OVERHEAD_TOKENS).sum()
     }
 
-    /// Prompt tokens that an endpoint has to prefill. At the affinity endpoints of a prefix, another replica
-    /// has usually prefilled it already.
+    /// Returns the number of prompt tokens that an endpoint has to prefill. At the affinity endpoints of a
+    /// prefix, another replica has usually prefilled it already.
     pub(super) fn uncached_tokens(&self, endpoint: &EndpointState, request: &Request) -> f64 {
         let expected = request
             .affinity_rank(endpoint.id)
--- a/src/scheduler/hashing.rs
+++ b/src/scheduler/hashing.rs
@@ -7,8 +7,8 @@
     (xxh3_64_with_seed(&u64::from(endpoint).to_le_bytes(), key) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Score of an endpoint in weighted rendezvous hashing. Over all keys, the probability that an endpoint has
-/// the highest score is proportional to its weight.
+/// Returns the score of an endpoint in weighted rendezvous hashing. Over all keys, the probability that an
+/// endpoint has the highest score is proportional to its weight.
 pub(super) fn rendezvous_score(endpoint: u32, key: u64, weight: f64) -> f64 {
     -weight / unit_hash(endpoint, key).ln().min(-1e-12)
 }
--- a/src/scheduler/load_report.rs
+++ b/src/scheduler/load_report.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Whether the responses to this replica's own requests bring load reports from each endpoint of the pool
-    /// as often as the endpoints renew them.
+    /// Returns whether the responses to this replica's own requests bring load reports from each endpoint of
+    /// the pool as often as the endpoints renew them.
     fn receives_enough_reports(&self, now: Micros, pool: Pool) -> bool {
         let reports_per_lifetime = self.arrival_rate_per_endpoint(now, pool) * LOAD_REPORT_LIFETIME as f64;
         self.settings.replicas < 2 || reports_per_lifetime > 1.0
--- a/src/scheduler/outcome.rs
+++ b/src/scheduler/outcome.rs
@@ -37,7 +37,7 @@
 }
 
 impl Outcome {
-    /// Whether this outcome, `elapsed` after the send, shows that the attempt reached its endpoint.
+    /// Returns whether this outcome, `elapsed` after the send, shows that the attempt reached its endpoint.
     pub fn reached_endpoint(self, elapsed: Micros) -> bool {
         match self {
             Outcome::Rejected
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether this outcome rules out that the endpoint executed any of the request.
+    /// Returns whether this outcome rules out that the endpoint executed any of the request.
     pub fn excludes_execution(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Abandoned)
     }
--- a/src/scheduler/prefill_selection.rs
+++ b/src/scheduler/prefill_selection.rs
@@ -42,7 +42,7 @@
             .or_else(|| self.select_local_prefill(now, request, tier))
     }
 
-    /// Eligible affinity prefill endpoints, sorted by estimated prefill time.
+    /// Returns the eligible affinity prefill endpoints, sorted by estimated prefill time.
     fn fastest_affinity_endpoints(&self, now: Micros, request: &Request) -> Vec<&EndpointState> {
         let max_attempts = self.settings.capabilities.max_attempts;
         let attempts_suffice = request.attempts() + ATTEMPTS_FOR_PREFILL_AND_DECODE <= max_attempts;
@@ -94,9 +94,9 @@
         Some(EndpointPair { prefill: None, decode })
     }
 
-    /// Prefill endpoints with affinity to the request's prefix, or else its session, by rendezvous hashing
-    /// that is identical on all replicas. Their number is small because each additional endpoint has to
-    /// prefill the prefix and evicts others from its cache.
+    /// Returns the prefill endpoints with affinity to the request's prefix, or else its session, by
+    /// rendezvous hashing that is identical on all replicas. Their number is small because each additional
+    /// endpoint has to prefill the prefix and evicts others from its cache.
     pub(super) fn prefix_affinity_order(
         &self, request: &Request, predicate: impl Fn(&EndpointState) -> bool,
     ) -> Vec<&EndpointState> {
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Requests of a tier that cannot be served within the tier's time limit, or not at all.
+    /// Returns the requests of a tier that cannot be served within the tier's time limit, or not at all.
     fn overdue(&self, now: Micros, tier: Tier, first_token_time: f64) -> Vec<QueueEntry> {
         let is_overdue = |rank: usize, request: &Request| {
             let time_needed = if rank < MAX_PREFILL_ESTIMATES {
--- a/src/scheduler/registry.rs
+++ b/src/scheduler/registry.rs
@@ -39,8 +39,8 @@
 }
 
 impl PoolCapacity {
-    /// Ratio of this cell's part of the fleet's decode capacity to its part of the prefill capacity, assuming
-    /// that all endpoints of a pool are equal.
+    /// Returns the ratio of this cell's part of the fleet's decode capacity to its part of the prefill
+    /// capacity, assuming that all endpoints of a pool are equal.
     fn decode_to_prefill_ratio(self, fleet: PoolCapacity) -> f64 {
         (self.decode / f64::max(fleet.decode, 1.0))
             / (self.prefill / f64::max(fleet.prefill, 1.0)).max(MIN_DIVISOR)
@@ -113,12 +113,12 @@
         }
     }
 
-    /// Ready endpoints of a pool.
+    /// Returns the ready endpoints of a pool.
     pub(super) fn ready_in(&self, pool: Pool) -> impl Iterator<Item = &EndpointState> {
         self.endpoints.values().filter(move |endpoint| endpoint.is_ready() && endpoint.pool() == pool)
     }
 
-    /// The minimum of `estimate` over the ready endpoints of a pool; zero if there are none.
+    /// Returns the minimum of `estimate` over the ready endpoints of a pool, or zero if there are none.
     pub(super) fn shortest_time(&self, pool: Pool, estimate: impl Fn(&EndpointState) -> f64) -> f64 {
         self.ready_in(pool).map(estimate).min_by(f64::total_cmp).unwrap_or(0.0)
     }
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -162,12 +162,12 @@
         self.spec.id
     }
 
-    /// Whether the request is waiting with no attempt in flight.
+    /// Returns whether the request is waiting with no attempt in flight.
     pub(super) fn is_waiting(&self) -> bool {
         matches!(self.state, RequestState::Queued(_) | RequestState::Prefilled(_))
     }
 
-    /// Whether an attempt is prefilling the prompt for a later decode.
+    /// Returns whether an attempt is prefilling the prompt for a later decode.
     pub(super) fn is_prefilling(&self) -> bool {
         matches!(self.state, RequestState::Prefilling { .. })
     }
@@ -176,7 +176,7 @@
         matches!(self.state, RequestState::Streaming(_))
     }
 
-    /// The reserved KV cache, if any.
+    /// Returns the reserved KV cache, if any.
     pub(super) fn reservation(&self) -> Option<CacheReservation> {
         match self.state {
             RequestState::Prefilled(reservation) => Some(reservation),
@@ -208,7 +208,7 @@
         self.last_progress_at = now;
     }
 
-    /// The endpoint that prefills the prompt or holds the KV cache.
+    /// Returns the endpoint that prefills the prompt or holds the KV cache.
     pub(super) fn prefill_endpoint(&self) -> Option<EndpointId> {
         match self.state {
             RequestState::Prefilling { prefill_endpoint } => Some(prefill_endpoint),
@@ -216,12 +216,12 @@
         }
     }
 
-    /// Rank of an endpoint in the request's affinity order.
+    /// Returns the rank of an endpoint in the request's affinity order.
     pub(super) fn affinity_rank(&self, endpoint: EndpointId) -> Option<usize> {
         self.affinity_endpoints.iter().position(|&id| id == endpoint)
     }
 
-    /// Number of attempts that may have reached an endpoint.
+    /// Returns the number of attempts that may have reached an endpoint.
     pub(super) fn attempts(&self) -> u32 {
         self.requested_attempts - self.unsent_attempts
     }
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -20,8 +20,8 @@
 const RESERVED_START_FRACTION: f64 = 0.9;
 
 impl Request {
-    /// Latest start of the next attempt; `None` if unlimited. Needed because a connection may take long to
-    /// open while the KV cache stays reserved.
+    /// Returns the latest start of the next attempt, or `None` if unlimited. Needed because a connection may
+    /// take long to open while the KV cache stays reserved.
     pub(super) fn start_deadline(&self, settings: &Settings) -> Option<Micros> {
         let deduplication_deadline = self.deduplicated_until(settings);
         let reservation_deadline = self.reservation_start_deadline(settings);
@@ -31,14 +31,14 @@
         }
     }
 
-    /// Latest start of an attempt that uses the reserved KV cache.
+    /// Returns the latest start of an attempt that uses the reserved KV cache.
     fn reservation_start_deadline(&self, settings: &Settings) -> Option<Micros> {
         let RequestState::Decoding(Some(reservation)) = self.state else { return None };
         let usable_for = (settings.rules.reservation_limit as f64 * RESERVED_START_FRACTION) as Micros;
         Some(reservation.reserved_since.saturating_add(usable_for))
     }
 
-    /// Latest start of an attempt that could execute a keyed request a second time.
+    /// Returns the latest start of an attempt that could execute a keyed request a second time.
     fn deduplicated_until(&self, settings: &Settings) -> Option<Micros> {
         let first = self.possible_execution?;
         match settings.classes[self.spec.class.0].idempotency {
@@ -49,8 +49,8 @@
 }
 
 impl Scheduler {
-    /// Whether an attempt at this endpoint is safe with respect to a second execution. Applies to prefill
-    /// attempts as well.
+    /// Returns whether an attempt at this endpoint is safe with respect to a second execution. Applies to
+    /// prefill attempts as well.
     pub(super) fn may_execute_at(&self, now: Micros, request: &Request, at: EndpointId) -> bool {
         let Some(first) = request.possible_execution else { return true };
         let scope = match self.settings.classes[request.spec.class.0].idempotency {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether the request has enough attempts left and some endpoint may execute it.
+    /// Returns whether the request has enough attempts left and some endpoint may execute it.
     pub(super) fn may_execute_anywhere(&self, now: Micros, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return true };
         let needed = if request.prefill_endpoint().is_some() {
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -39,7 +39,8 @@
 }
 
 impl EndpointState {
-    /// Fraction of its capacity that an endpoint has; assumed to grow linearly to 1 after its start.
+    /// Returns the fraction of its capacity that an endpoint has, assumed to grow linearly to 1 after its
+    /// start.
     pub(super) fn warmup_factor(&self, now: Micros, rules: &Rules) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let age = now.saturating_sub(started_at) as f64 / rules.slow_start_duration.max(1) as f64;
@@ -60,8 +61,8 @@
         credit.decode += decode;
     }
 
-    /// Sends that this replica may currently make to a warming endpoint: the endpoint's growing capacity
-    /// since the last send, in proportion to this replica's arrivals.
+    /// Returns the number of sends that this replica may currently make to a warming endpoint: the endpoint's
+    /// growing capacity since the last send, in proportion to this replica's arrivals.
     pub(super) fn slow_start_budget(&self, now: Micros, endpoint: &EndpointState) -> f64 {
         let rules = &self.settings.rules;
         let budget = endpoint.slow_start;
--- a/src/scheduler/speed_curve.rs
+++ b/src/scheduler/speed_curve.rs
@@ -39,7 +39,7 @@
         self.fit();
     }
 
-    /// Non-negative least squares by coordinate descent.
+    /// Fits the coefficients by non-negative least squares, using coordinate descent.
     fn fit(&mut self) {
         for row in (0..3).cycle().take(3 * FIT_ROUNDS) {
             let others = (0..3).filter(|&column| column != row);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Microseconds per token at this load; zero until there are enough samples.
+    /// Returns the microseconds per token at this load, or zero until there are enough samples.
     pub(super) fn inter_token_latency(&self, load: f64) -> f64 {
         if self.samples < MIN_SAMPLES {
             return 0.0;
--- a/src/server/api_context.rs
+++ b/src/server/api_context.rs
@@ -41,7 +41,7 @@
         ApiContext { routing, limiter, shutdown, max_retry_after }
     }
 
-    /// Returns the metrics of this API.
+    /// Returns the counters of this API.
     pub(super) fn counters(&self) -> &Rc<Counters> {
         &self.routing.counters
     }
--- a/src/server/client_stream.rs
+++ b/src/server/client_stream.rs
@@ -53,7 +53,8 @@
 }
 
 impl ClientIo for DuplexStream {
-    /// An in-memory pipe reports a close only after its last byte, so unread bytes are consumed.
+    /// Waits for the close. An in-memory pipe reports it only after its last byte, so unread bytes are
+    /// consumed.
     async fn client_closed(&mut self) {
         let mut scratch = [0; 1_024];
         while self.read(&mut scratch).await.is_ok_and(|read| read > 0) {}
--- a/src/server/connection_limits.rs
+++ b/src/server/connection_limits.rs
@@ -55,7 +55,7 @@
         BodyAllocation { limiter, bytes: 0 }
     }
 
-    /// Grows the allocation by `bytes`. Returns false and allocates nothing if this would exceed the limit.
+    /// Grows the allocation by `bytes`. Returns `false` and allocates nothing if this would exceed the limit.
     pub fn try_grow(&mut self, bytes: usize) -> bool {
         let total = self.limiter.body_bytes.get() + bytes;
         if total > self.limiter.max_body_bytes {
--- a/src/server/handler.rs
+++ b/src/server/handler.rs
@@ -15,7 +15,7 @@
 
 /// Handles the requests of one connection in the protocol of an API.
 pub trait RequestHandler: Clone + 'static {
-    /// Returns the metrics of this API.
+    /// Returns the counters of this API.
     fn counters(&self) -> Rc<Counters>;
 
     /// Handles one request. The future is dropped when the client disconnects.
--- a/src/upstream/connection_pool.rs
+++ b/src/upstream/connection_pool.rs
@@ -221,7 +221,7 @@
         }
     }
 
-    /// [Invalidates](Self::invalidate) an endpoint after one of its connections has been silent since
+    /// Calls [`invalidate`](Self::invalidate) after one of the endpoint's connections has been silent since
     /// `silent_since`, unless another connection to it was returned to the pool since then.
     pub fn invalidate_if_silent_since(&self, endpoint: EndpointId, silent_since: Instant) {
         let last_response_at =
--- a/src/upstream/write_progress.rs
+++ b/src/upstream/write_progress.rs
@@ -46,8 +46,8 @@
         self.0.set(WriteState::Buffered);
     }
 
-    /// hyper flushes the socket only when its own buffer is empty, so a flush after the body was passed to it
-    /// means that the last byte has been written.
+    /// Records a flush of the socket. hyper flushes the socket only when its own buffer is empty, so a flush
+    /// after the body was passed to it means that the last byte has been written.
     fn mark_flushed(&self) {
         if self.0.get() == WriteState::Buffered {
             self.0.set(WriteState::Flushed);
