--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -15,7 +15,7 @@
 };
 use object::{Account, FamilyInfo, Invariants, Lane, MembershipMode, Options, WireIdempotency, WireLimits};
 
-/// The names defined by a settings object. Each list is indexed by the corresponding scheduler id.
+/// The names defined by a settings object. Each list is indexed by the corresponding scheduler ID.
 #[derive(Clone, Debug, Default)]
 pub struct SettingNames {
     /// Zone names, indexed by [`ZoneId`].
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -103,7 +103,7 @@
             }
             EndpointRecord::Invalid { id } => id,
             EndpointRecord::Unidentified(_) => {
-                tracing::warn!("ignoring endpoint record without an id");
+                tracing::warn!("ignoring endpoint record without an ID");
                 return None;
             }
         };
--- a/src/discovery/endpoint_ids.rs
+++ b/src/discovery/endpoint_ids.rs
@@ -1,4 +1,4 @@
-//! Maps the endpoint names of discovery to the numeric ids used by the scheduler and the connection pool.
+//! Maps the endpoint names of discovery to the numeric IDs used by the scheduler and the connection pool.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,7 +6,7 @@
 
 use crate::scheduler::EndpointId;
 
-/// Numeric ids of the known endpoints, keyed by name.
+/// Numeric IDs of the known endpoints, keyed by name.
 #[derive(Debug, Default)]
 pub(super) struct EndpointIds {
     by_name: HashMap<String, EndpointId>,
@@ -14,8 +14,8 @@
 }
 
 impl EndpointIds {
-    /// Returns the id of an endpoint, assigning one to a new name. Ids are hashes of the name, so all
-    /// replicas assign the same id regardless of list order. Only on a collision does a replica use the next
+    /// Returns the ID of an endpoint, assigning one to a new name. IDs are hashes of the name, so all
+    /// replicas assign the same ID regardless of list order. Only on a collision does a replica use the next
     /// hash.
     pub(super) fn id_for(&mut self, name: &str) -> EndpointId {
         if let Some(&endpoint) = self.by_name.get(name) {
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -28,12 +28,12 @@
 pub enum EndpointRecord {
     /// All fields are valid.
     Valid(DiscoveredEndpoint),
-    /// Only the id is valid.
+    /// Only the ID is valid.
     Invalid {
         /// Name of the endpoint.
         id: String,
     },
-    /// The id is missing or invalid.
+    /// The ID is missing or invalid.
     Unidentified(IgnoredAny),
 }
 
@@ -104,7 +104,7 @@
     /// # Errors
     ///
     /// Returns an error if a list is malformed or too long, or if there is other data between lists. The
-    /// reader must not be used afterwards.
+    /// reader must not be used afterward.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<EndpointList>, ListError> {
         let mut lists = Vec::new();
         for &byte in bytes {
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Assigns the next attempt id and logs the start of the attempt.
+    /// Assigns the next attempt ID and logs the start of the attempt.
     fn start_attempt(&mut self, send: SendCommand) -> Attempt {
         let attempt = Attempt { id: AttemptId(self.attempts), send, started_at: Instant::now() };
         self.attempts += 1;
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -15,11 +15,11 @@
 use crate::upstream::exchange::RequestPayload;
 use crate::upstream::send_gate::SendGate;
 
-/// Time (15 ms) after the deadline at which the task fails a request that the scheduler has not decided. The
-/// rules allow more, and a healthy scheduler has decided by then.
+/// Time after the deadline at which the task fails a request that the scheduler has not decided. The rules
+/// allow more, and a healthy scheduler has decided by then.
 const DECISION_GRACE: Duration = Duration::from_millis(15);
 
-/// How late (500 ms after the deadline) a final answer may be before it counts as a violation.
+/// How long after the deadline a final answer may be sent before it counts as a violation.
 const MAX_ANSWER_LATENESS: Duration = Duration::from_millis(500);
 
 /// An event that a request's task handles before its stream starts.
@@ -44,7 +44,7 @@
     pub(super) deadline: Instant,
     /// Whether the client expects a single response instead of a stream.
     pub(super) unary: bool,
-    /// Number of attempts so far, which is also the next attempt's id.
+    /// Number of attempts so far, which is also the next attempt's ID.
     pub(super) attempts: u32,
     pub(super) last_outcome: Option<Outcome>,
     /// Whether the client has its final answer or has disconnected. No further attempt is started, and one in
--- a/src/request/reservation.rs
+++ b/src/request/reservation.rs
@@ -10,12 +10,12 @@
 use crate::upstream::exchange::Upstream;
 use crate::upstream::release::release;
 
-/// Longest time (250 ms) that the next prefill waits for the release of an earlier one. A release still in
-/// progress after that is aborted: if it arrived late, it would free the new prefill's KV cache.
+/// Longest time that the next prefill waits for the release of an earlier one. A release still in progress
+/// after that is aborted: if it arrived late, it would free the new prefill's KV cache.
 const RELEASE_BEFORE_PREFILL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How far (300 ms) a reservation may exceed its limit before it counts as a violation. The rules allow this
-/// much for network delays.
+/// How far a reservation may exceed its limit before it counts as a violation. The rules allow this much for
+/// network delays.
 const RESERVATION_LIMIT_TOLERANCE: Duration = Duration::from_millis(300);
 
 /// The KV cache that may be reserved for one request.
--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -10,7 +10,7 @@
 use crate::upstream::event_stream::{EventStream, StreamChunk, StreamError};
 
 /// Number of chunks buffered for a slow client. When the buffer is full, the endpoint's connection is not
-/// read, so back-pressure reaches the endpoint and the router's memory use stays bounded.
+/// read, so backpressure reaches the endpoint and the router's memory use stays bounded.
 const MAX_WAITING_CHUNKS: usize = 4;
 
 /// How the forwarding of a stream ended.
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the first request in the admission window that passes the check. The order is random so that
-    /// replicas with the same state do not all favour the same request.
+    /// replicas with the same state do not all favor the same request.
     fn next_within_objective(&self, now: Micros) -> Option<Admission> {
         let mut window: Vec<_> =
             self.queue.tier(Tier::Objective).iter().take(ADMISSION_WINDOW).copied().collect();
--- a/src/scheduler/decaying_average.rs
+++ b/src/scheduler/decaying_average.rs
@@ -2,7 +2,7 @@
 
 use super::ids::Micros;
 
-/// Half-life with which an endpoint's average decays towards the fleet average; long compared with one
+/// Half-life with which an endpoint's average decays toward the fleet average; long compared with one
 /// attempt, short compared with changes in load.
 pub(super) const HALF_LIFE_US: f64 = 6e6;
 /// Microseconds without a sample after which the next sample has a weight of one half in a fleet average.
@@ -11,7 +11,7 @@
 /// weight depends on the time since the last one.
 pub(super) const FLEET_SAMPLE_WEIGHT: f64 = 0.05;
 
-/// An average that decays towards a baseline over time.
+/// An average that decays toward a baseline over time.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DecayingAverage {
     value: f64,
--- a/src/scheduler/decode_selection.rs
+++ b/src/scheduler/decode_selection.rs
@@ -9,7 +9,7 @@
 use super::request::{CacheReservation, Request, RequestState};
 use super::retry::FINAL_ANSWER_MARGIN;
 
-/// Exponent of the headroom in a decode endpoint's weight. Favours the endpoint with the most headroom
+/// Exponent of the headroom in a decode endpoint's weight. Favors the endpoint with the most headroom
 /// without sending all replicas to it.
 const HEADROOM_EXPONENT: f64 = 4.0;
 /// Weight of a decode endpoint in another zone, relative to 1 in the same zone; transfers between zones cost
--- a/src/scheduler/endpoint.rs
+++ b/src/scheduler/endpoint.rs
@@ -48,7 +48,7 @@
     pub(super) consecutive_failures: u32,
     pub(super) failed_at: Micros,
     pub(super) ejected_until: Micros,
-    /// A prefill endpoint is not used until then because decode endpoints could not fetch its KV caches.
+    /// When a prefill endpoint whose KV caches decode endpoints could not fetch is used again.
     pub(super) transfer_stalled_until: Micros,
     /// Consecutive malformed responses.
     pub(super) malformed_responses: u32,
--- a/src/scheduler/registry.rs
+++ b/src/scheduler/registry.rs
@@ -56,7 +56,7 @@
         for update in updates {
             self.apply_update(now, update);
         }
-        // Drop removed endpoints that have nothing in flight; new ids appear all day, so the map would
+        // Drop removed endpoints that have nothing in flight; new IDs appear all day, so the map would
         // otherwise grow.
         self.endpoints.retain(|_, endpoint| !endpoint.is_removable());
         self.ready_endpoints = PoolSizes {
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -77,8 +77,9 @@
 pub(super) struct Request {
     pub(super) spec: RequestSpec,
     pub(super) state: RequestState,
-    /// When the first token is due, and when the client abandons the request.
+    /// When the first token is due.
     pub(super) objective_at: Micros,
+    /// When the client abandons the request.
     pub(super) deadline: Micros,
     /// Expected number of output tokens.
     pub(super) expected_output_tokens: f64,
@@ -89,8 +90,9 @@
     /// Whether the tenant's quota is exceeded, which restricts the request to the best-effort tier.
     pub(super) over_quota: bool,
 
-    /// Attempts that the scheduler requested, and how many of them were never sent.
+    /// Number of attempts that the scheduler requested.
     pub(super) requested_attempts: u32,
+    /// Number of requested attempts that were never sent.
     pub(super) unsent_attempts: u32,
     /// When the last attempt was sent or, while streaming, when the first token arrived.
     pub(super) last_progress_at: Micros,
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -108,7 +108,7 @@
     pub health_checks: bool,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Longest `Retry-After` that clients honour; `None` if they are not sent one.
+    /// Longest `Retry-After` that clients honor; `None` if they are not sent one.
     pub max_retry_after: Option<Micros>,
     /// Whether a slot can be reserved at a decode endpoint in advance.
     pub reserve_ahead: bool,
--- a/src/scheduler_handle/mod.rs
+++ b/src/scheduler_handle/mod.rs
@@ -47,7 +47,7 @@
         (SchedulerHandle { inputs, last_request_id: Rc::default() }, fleet_commands)
     }
 
-    /// Submits a new request and assigns its id.
+    /// Submits a new request and assigns its ID.
     pub fn submit(&self, mut spec: RequestSpec) -> RequestHandle {
         let id = RequestId(self.last_request_id.get() + 1);
         self.last_request_id.set(id.0);
--- a/src/scheduler_handle/task.rs
+++ b/src/scheduler_handle/task.rs
@@ -18,7 +18,7 @@
 pub(super) enum SchedulerInput {
     /// Submits a new request.
     Submit {
-        /// The request, with its id assigned.
+        /// The request, with its ID assigned.
         spec: RequestSpec,
         /// Channel for the request's commands.
         commands: UnboundedSender<RequestCommand>,
@@ -127,7 +127,7 @@
             // The endpoint list is always watched, and neither protocol supports reservations ahead of a
             // request.
             Action::FetchEndpoints | Action::WatchEndpoints | Action::ReserveAhead { .. } => {}
-            Action::Log(note) => tracing::info!(note = %note, "scheduler"),
+            Action::Log(note) => tracing::info!(note = %note, "note from the scheduler"),
         }
     }
 
--- a/src/server/listener.rs
+++ b/src/server/listener.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Spawns the task of a connection, which counts towards the limits from now on.
+    /// Spawns the task of a connection, which counts toward the limits from now on.
     fn start(&self, socket: TcpStream) {
         // Best effort: a failure only adds latency.
         let _ = socket.set_nodelay(true);
--- a/src/server/spiffe.rs
+++ b/src/server/spiffe.rs
@@ -222,7 +222,7 @@
                 *loaded = LoadedFiles { versions, acceptor };
             }
             Err(error) => {
-                tracing::warn!(%error, "failed to reload identity files, keeping the previous ones");
+                tracing::warn!(%error, "identity file reload failed; keeping the previous files");
             }
         }
         loaded.acceptor.clone()
--- a/src/upstream/connection_pool.rs
+++ b/src/upstream/connection_pool.rs
@@ -112,7 +112,7 @@
         by_endpoint.get(&endpoint).map(|pooled| pooled.address.clone())
     }
 
-    /// Returns all known endpoints, ordered by id.
+    /// Returns all known endpoints, ordered by ID.
     pub fn endpoints(&self) -> Vec<EndpointId> {
         self.by_endpoint.borrow().keys().copied().collect()
     }
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -27,7 +27,7 @@
 /// The parts of a request that are forwarded unchanged and without being parsed.
 #[derive(Clone, Debug)]
 pub struct RequestPayload {
-    /// The id that identifies the request to endpoints.
+    /// The ID that identifies the request to endpoints.
     pub id: Rc<str>,
     /// Path and query.
     pub target: PathAndQuery,
--- a/src/upstream/request_head.rs
+++ b/src/upstream/request_head.rs
@@ -7,7 +7,7 @@
 use crate::upstream::connection_pool::EndpointAddress;
 use crate::upstream::exchange::{IDEMPOTENCY_KEY, RequestPayload, UpstreamProtocol};
 
-/// Header with the id that identifies the request to endpoints.
+/// Header with the ID that identifies the request to endpoints.
 const REQUEST_ID_HEADER: &str = "request-id";
 
 /// Header with the time in milliseconds for which the router waits for the response.
