--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -25,8 +25,8 @@
 const CLIENT_SOCKETS_PERCENT: usize = 44;
 /// Percentage of the memory used for request bodies.
 const BODY_MEMORY_PERCENT: usize = 30;
-/// Minimum for each share, however small the limit of the resource is.
-const MIN_SHARE: usize = 8;
+/// Minimum of each limit derived from a percentage, however small the resource is.
+const MIN_LIMIT: usize = 8;
 
 /// Validated configuration of the platform API.
 pub struct PlatformConfig {
@@ -110,8 +110,8 @@
     /// of them are taken from the client connections and half from the endpoint connections.
     pub fn reserve_sockets(&mut self, sockets: usize) {
         let half = sockets.div_ceil(2);
-        self.max_client_connections = self.max_client_connections.saturating_sub(half).max(MIN_SHARE);
-        self.pool.max_connections = self.pool.max_connections.saturating_sub(half).max(MIN_SHARE);
+        self.max_client_connections = self.max_client_connections.saturating_sub(half).max(MIN_LIMIT);
+        self.pool.max_connections = self.pool.max_connections.saturating_sub(half).max(MIN_LIMIT);
     }
 
     fn parse(text: &[u8]) -> Result<Self, PlatformConfigError> {
@@ -134,10 +134,10 @@
             pool: pool_limits(
                 connection_limits.connect_timeout_ms,
                 connection_limits.idle_close_ms,
-                share_of(sockets, ENDPOINT_SOCKETS_PERCENT),
+                percent_of(sockets, ENDPOINT_SOCKETS_PERCENT),
             ),
-            max_client_connections: share_of(sockets, CLIENT_SOCKETS_PERCENT),
-            max_body_bytes: share_of(memory_bytes, BODY_MEMORY_PERCENT),
+            max_client_connections: percent_of(sockets, CLIENT_SOCKETS_PERCENT),
+            max_body_bytes: percent_of(memory_bytes, BODY_MEMORY_PERCENT),
         })
     }
 }
@@ -147,7 +147,7 @@
         .map_err(|source| PlatformConfigError::Seed { seed: seed.to_owned(), source })
 }
 
-/// Returns a percentage of a resource limit, but at least [`MIN_SHARE`].
-fn share_of(limit: usize, percent: usize) -> usize {
-    (limit * percent / 100).max(MIN_SHARE)
+/// Returns a percentage of a resource limit, but at least [`MIN_LIMIT`].
+fn percent_of(limit: usize, percent: usize) -> usize {
+    (limit * percent / 100).max(MIN_LIMIT)
 }
--- a/src/config/pool.rs
+++ b/src/config/pool.rs
@@ -10,7 +10,7 @@
 const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
 /// Fraction of the endpoint's idle timeout after which an idle connection to it is closed. Closing well
 /// before the endpoint does avoids requests that race with its close and fail with a connection reset.
-const IDLE_TIMEOUT_SHARE: f64 = 0.5;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.5;
 
 /// Returns the default time limit for connecting to an endpoint, in milliseconds.
 pub(super) fn default_connect_timeout_ms() -> f64 {
@@ -27,7 +27,7 @@
 pub(super) fn pool_limits(connect_timeout_ms: f64, idle_close_ms: f64, max_connections: usize) -> PoolLimits {
     PoolLimits {
         connect_timeout: timeout_from_millis(connect_timeout_ms),
-        idle_timeout: timeout_from_millis(idle_close_ms * IDLE_TIMEOUT_SHARE),
+        idle_timeout: timeout_from_millis(idle_close_ms * IDLE_TIMEOUT_FRACTION),
         max_connections,
     }
 }
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -59,10 +59,10 @@
     /// delay is drawn from the second half of the window.
     pub fn next_delay(&mut self) -> Duration {
         let window = (self.retry_window * 2u32.pow(self.failures)).min(MAX_RETRY_WINDOW);
-        let min_share = if self.fleet_synchronized { 0.0 } else { 0.5 };
+        let min_fraction = if self.fleet_synchronized { 0.0 } else { 0.5 };
         self.fleet_synchronized = false;
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
-        window.mul_f64(min_share + (1.0 - min_share) * self.next_random())
+        window.mul_f64(min_fraction + (1.0 - min_fraction) * self.next_random())
     }
 
     /// Resets the backoff after discovery has answered.
--- a/src/request/stream.rs
+++ b/src/request/stream.rs
@@ -11,7 +11,7 @@
 
 /// Number of chunks buffered for a slow client. When the buffer is full, the endpoint's connection is not
 /// read, so backpressure reaches the endpoint and the router's memory use stays bounded.
-const MAX_WAITING_CHUNKS: usize = 4;
+const MAX_BUFFERED_CHUNKS: usize = 4;
 
 /// How the forwarding of a stream ended.
 enum ForwardResult {
@@ -56,7 +56,7 @@
     /// Answers with the stream and forwards it until it ends or the scheduler migrates it. When this returns,
     /// the stream is closed on both sides.
     async fn forward_to_client(&mut self, mut events: Box<EventStream>) -> ForwardResult {
-        let (client, chunks) = mpsc::channel(MAX_WAITING_CHUNKS);
+        let (client, chunks) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         let head = events.head().clone();
         if self.settled || !self.responder.respond(RoutedResponse::Body { head, chunks }) {
             return ForwardResult::ClientDisconnected;
