--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -109,8 +109,8 @@
     /// decode endpoint counts the request as a stream from now on.
     fn dispatch(&mut self, now: Micros, id: RequestId, pair: EndpointPair, actions: &mut Vec<Action>) {
         self.assign_decode_endpoint(id, pair.decode);
-        let prefilled_at = pair.prefill.unwrap_or(pair.decode);
-        let uncached_tokens = self.uncached_tokens(&self.endpoints[&prefilled_at], &self.requests[&id]);
+        let prefill_endpoint = pair.prefill.unwrap_or(pair.decode);
+        let uncached_tokens = self.uncached_tokens(&self.endpoints[&prefill_endpoint], &self.requests[&id]);
         if let Some(request) = self.requests.get_mut(&id) {
             request.uncached_tokens = uncached_tokens;
             request.admitted_from = match request.state {
--- a/src/server/client_stream.rs
+++ b/src/server/client_stream.rs
@@ -71,7 +71,7 @@
 }
 
 /// The byte stream of a client connection, which reports its traffic to the connection state. A second handle
-/// remains usable after the HTTP library has dropped the first one.
+/// remains usable after hyper has dropped the first one.
 pub struct ClientStream<I> {
     io: Rc<RefCell<I>>,
     state: Rc<ClientState>,
@@ -89,8 +89,8 @@
     }
 
     /// Waits for the client to close the connection after sending more bytes than its current request has.
-    /// The HTTP library stops reading at the end of the request and would not detect the close. The
-    /// connection is closed after the response anyway, so the excess bytes are discarded.
+    /// hyper stops reading at the end of the request and would not detect the close. The connection is closed
+    /// after the response anyway, so the excess bytes are discarded.
     pub async fn closed_after_excess_bytes(&self) {
         let discard_excess = |cx: &mut Context<'_>| {
             if self.state.has_excess_bytes() { self.poll_discard(cx) } else { Poll::Pending }
@@ -155,7 +155,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The HTTP library flushes the stream only when its own buffer is empty.
+        // hyper flushes the stream only when its own buffer is empty.
         let flushed = ready!(Pin::new(&mut *self.io.borrow_mut()).poll_flush(cx));
         if flushed.is_ok() {
             self.state.output_flushed();
--- a/src/server/connection.rs
+++ b/src/server/connection.rs
@@ -105,8 +105,8 @@
     }
 }
 
-/// Waits until the process shuts down and no request is arriving. On a graceful shutdown, the HTTP library
-/// immediately closes a connection that is waiting for a request, even if part of a head has been read.
+/// Waits until the process shuts down and no request is arriving. On a graceful shutdown, hyper immediately
+/// closes a connection that is waiting for a request, even if part of a head has been read.
 async fn ready_to_drain(shutdown: &Shutdown, client: &ClientState) {
     shutdown.wait_started().await;
     client.no_request_arriving(CONNECT_GRACE).await;
--- a/src/server/connection_state.rs
+++ b/src/server/connection_state.rs
@@ -14,8 +14,7 @@
 
 use super::head_scanner::HeadScanner;
 
-/// Maximum size of a request head in bytes. This is the buffer size of the HTTP library, which rejects larger
-/// heads.
+/// Maximum size of a request head in bytes. This is the buffer size of hyper, which rejects larger heads.
 pub(super) const MAX_HEAD_SIZE: usize = 32 * 1024;
 
 /// Time for a client to send a head, and the idle timeout between requests. A connection without an open
@@ -36,7 +35,7 @@
 ///                             +------first byte-------- Idle <--------response written---+
 /// ```
 ///
-/// Any stage changes to `Lingering` when the HTTP library has finished with the connection.
+/// Any stage changes to `Lingering` when hyper has finished with the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionStage {
     /// The last response was sent and the client has not closed the connection yet.
@@ -210,8 +209,8 @@
         }
     }
 
-    /// Records that the HTTP library has parsed a request head. Enters `InRequest`, in which no deadline
-    /// applies and the connection is not evicted.
+    /// Records that hyper has parsed a request head. Enters `InRequest`, in which no deadline applies and the
+    /// connection is not evicted.
     pub fn request_started(&self, request: &Request<Incoming>) -> RequestArrival {
         let earliest_start = self.stage.borrow().timer_started;
         self.enter(ConnectionStage::InRequest);
@@ -223,8 +222,8 @@
         RequestArrival { earliest_start, conflicting_lengths }
     }
 
-    /// Returns whether more bytes were received than belong to the current request. The HTTP library does not
-    /// read past the request until it is answered.
+    /// Returns whether more bytes were received than belong to the current request. hyper does not read past
+    /// the request until it is answered.
     pub fn has_excess_bytes(&self) -> bool {
         match self.body_length.get() {
             Some(BodyLength::Known(length)) => self.scanner.borrow().bytes_after_head() > length,
@@ -271,8 +270,7 @@
         }
     }
 
-    /// Records that the HTTP library has finished with the connection, which now waits for the client to
-    /// close.
+    /// Records that hyper has finished with the connection, which now waits for the client to close.
     pub fn linger(&self) {
         self.enter(ConnectionStage::Lingering);
     }
--- a/src/server/head_scanner.rs
+++ b/src/server/head_scanner.rs
@@ -1,14 +1,14 @@
 //! Finds the end of each request head in the byte stream of a connection and counts the bytes after it.
 //!
-//! The HTTP library exposes a head only after parsing, when one of two conflicting length headers has already
-//! been removed, and does not report how many bytes follow it. The scanner therefore inspects the same bytes
-//! in parallel.
+//! hyper exposes a head only after parsing, when one of two conflicting length headers has already been
+//! removed, and does not report how many bytes follow it. The scanner therefore inspects the same bytes in
+//! parallel.
 
 use std::mem;
 
 use super::connection_state::MAX_HEAD_SIZE;
 
-/// Maximum number of bytes kept of an unterminated head. The HTTP library rejects such a head long before.
+/// Maximum number of bytes kept of an unterminated head. hyper rejects such a head long before.
 const MAX_RETAINED_HEAD_SIZE: usize = 2 * MAX_HEAD_SIZE;
 
 /// Position of a byte stream relative to the current request head, with the bytes kept of that head.
@@ -79,7 +79,7 @@
         starts_head
     }
 
-    /// Takes the head of the request that the HTTP library has parsed.
+    /// Takes the head of the request that hyper has parsed.
     pub(super) fn take_head(&mut self) -> RawHead {
         match self {
             HeadScanner::InHead { head } => RawHead { bytes: mem::take(head), is_complete: false },
