--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -43,8 +43,8 @@
         self.query_prefill_queues(now, spec.id, actions);
     }
 
-    /// Whether the deployment allows enough attempts for a separate prefill and decode, or has a kind of
-    /// endpoint that does both in one attempt.
+    /// Returns whether the deployment allows enough attempts for a separate prefill and decode, or has a kind
+    /// of endpoint that does both in one attempt.
     fn can_serve_requests(&self) -> bool {
         let capabilities = &self.settings.capabilities;
         let mut roles = self.settings.kinds.iter().map(|kind| kind.role);
@@ -76,7 +76,7 @@
     }
 
     /// Returns the first request in the admission window that passes the check. The order is random so that
-    /// replicas with the same state do not all favour the same request.
+    /// replicas with the same state do not all favor the same request.
     fn next_within_objective(&self, now: Micros) -> Option<Admission> {
         let mut window: Vec<_> =
             self.queue.tier(Tier::Objective).iter().take(ADMISSION_WINDOW).copied().collect();
@@ -109,8 +109,8 @@
     /// decode endpoint counts the request as a stream from now on.
     fn dispatch(&mut self, now: Micros, id: RequestId, pair: EndpointPair, actions: &mut Vec<Action>) {
         self.assign_decode_endpoint(id, pair.decode);
-        let prefilled_at = pair.prefill.unwrap_or(pair.decode);
-        let uncached_tokens = self.uncached_tokens(&self.endpoints[&prefilled_at], &self.requests[&id]);
+        let prefill_endpoint = pair.prefill.unwrap_or(pair.decode);
+        let uncached_tokens = self.uncached_tokens(&self.endpoints[&prefill_endpoint], &self.requests[&id]);
         if let Some(request) = self.requests.get_mut(&id) {
             request.uncached_tokens = uncached_tokens;
             request.admitted_from = match request.state {
@@ -136,8 +136,8 @@
         self.send(now, id, prefill, expected, actions);
     }
 
-    /// Expected microseconds for the prefill if none of the prompt is cached. A cache miss alone must not
-    /// make the attempt time out.
+    /// Returns the expected prefill time in microseconds if none of the prompt is cached. A cache miss alone
+    /// must not make the attempt time out.
     fn expected_prefill_time(&self, now: Micros, id: RequestId, prefill: EndpointId) -> f64 {
         let request = &self.requests[&id];
         let cached_tokens = (request.spec.prompt_tokens - request.uncached_tokens).max(0.0);
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -77,8 +77,9 @@
 pub(super) struct Request {
     pub(super) spec: RequestSpec,
     pub(super) state: RequestState,
-    /// When the first token is due, and when the client abandons the request.
+    /// When the first token is due.
     pub(super) objective_at: Micros,
+    /// When the client abandons the request.
     pub(super) deadline: Micros,
     /// Expected number of output tokens.
     pub(super) expected_output_tokens: f64,
@@ -89,8 +90,9 @@
     /// Whether the tenant's quota is exceeded, which restricts the request to the best-effort tier.
     pub(super) over_quota: bool,
 
-    /// Attempts that the scheduler requested, and how many of them were never sent.
+    /// Number of attempts that the scheduler requested.
     pub(super) requested_attempts: u32,
+    /// Number of requested attempts that were never sent.
     pub(super) unsent_attempts: u32,
     /// When the last attempt was sent or, while streaming, when the first token arrived.
     pub(super) last_progress_at: Micros,
@@ -162,12 +164,12 @@
         self.spec.id
     }
 
-    /// Whether the request is waiting with no attempt in flight.
+    /// Returns whether the request is waiting with no attempt in flight.
     pub(super) fn is_waiting(&self) -> bool {
         matches!(self.state, RequestState::Queued(_) | RequestState::Prefilled(_))
     }
 
-    /// Whether an attempt is prefilling the prompt for a later decode.
+    /// Returns whether an attempt is prefilling the prompt for a later decode.
     pub(super) fn is_prefilling(&self) -> bool {
         matches!(self.state, RequestState::Prefilling { .. })
     }
@@ -176,7 +178,7 @@
         matches!(self.state, RequestState::Streaming(_))
     }
 
-    /// The reserved KV cache, if any.
+    /// Returns the reserved KV cache, if any.
     pub(super) fn reservation(&self) -> Option<CacheReservation> {
         match self.state {
             RequestState::Prefilled(reservation) => Some(reservation),
@@ -208,7 +210,7 @@
         self.last_progress_at = now;
     }
 
-    /// The endpoint that prefills the prompt or holds the KV cache.
+    /// Returns the endpoint that prefills the prompt or holds the KV cache.
     pub(super) fn prefill_endpoint(&self) -> Option<EndpointId> {
         match self.state {
             RequestState::Prefilling { prefill_endpoint } => Some(prefill_endpoint),
@@ -216,12 +218,12 @@
         }
     }
 
-    /// Rank of an endpoint in the request's affinity order.
+    /// Returns the rank of an endpoint in the request's affinity order.
     pub(super) fn affinity_rank(&self, endpoint: EndpointId) -> Option<usize> {
         self.affinity_endpoints.iter().position(|&id| id == endpoint)
     }
 
-    /// Number of attempts that may have reached an endpoint.
+    /// Returns the number of attempts that may have reached an endpoint.
     pub(super) fn attempts(&self) -> u32 {
         self.requested_attempts - self.unsent_attempts
     }
