--- a/src/config/settings/object.rs
+++ b/src/config/settings/object.rs
@@ -128,7 +128,7 @@
     #[serde(rename = "lateWorth", default)]
     pub(crate) late_weight: f64,
     pub(crate) name: String,
-    /// Time within which the first token earns the full weight.
+    /// Maximum time to the first token for an answer to count at full weight.
     #[serde(rename = "objective")]
     pub(crate) first_token_objective_ms: f64,
     #[serde(rename = "semantics")]
--- a/src/scheduler/arrival_rate.rs
+++ b/src/scheduler/arrival_rate.rs
@@ -23,7 +23,7 @@
         self.started_at.get_or_insert(now);
     }
 
-    /// Counts the first try of a request; retries by the client are not counted.
+    /// Counts the arrival of a request. Not called for retries by the client.
     pub(super) fn record_arrival(&mut self, now: Micros) {
         self.count.add_occurrence(now);
     }
--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -269,8 +269,8 @@
     }
 }
 
-/// Returns the attempt's timeout in microseconds, short enough that another attempt fits after an
-/// unresponsive endpoint.
+/// Returns the attempt's timeout in microseconds. It leaves time for another attempt after an unresponsive
+/// endpoint, unless the expected time is too long for that; see [`MIN_TIMEOUT_MULTIPLE`].
 fn attempt_timeout(expected: f64, time_left: f64) -> Micros {
     let share = time_left * MAX_ATTEMPT_FRACTION;
     let max_timeout = if share > expected * MIN_TIMEOUT_MULTIPLE { share } else { time_left };
--- a/src/scheduler/endpoint.rs
+++ b/src/scheduler/endpoint.rs
@@ -48,7 +48,8 @@
     pub(super) consecutive_failures: u32,
     pub(super) failed_at: Micros,
     pub(super) ejected_until: Micros,
-    /// When a prefill endpoint whose KV caches decode endpoints could not fetch is used again.
+    /// For a prefill endpoint, the end of its ejection after several decode endpoints failed to fetch a KV
+    /// cache from it.
     pub(super) transfer_stalled_until: Micros,
     /// Consecutive malformed responses.
     pub(super) malformed_responses: u32,
--- a/src/scheduler/event.rs
+++ b/src/scheduler/event.rs
@@ -72,9 +72,9 @@
     pub max_output_tokens: f64,
     /// Estimated duration of the stream at the inter-token objective.
     pub stream_duration_hint: Option<Micros>,
-    /// Time until the client abandons this try.
+    /// Time until the client abandons this request. A retry by the client is a new request.
     pub client_timeout: Micros,
-    /// Whether the client marked this as a retry of an earlier try.
+    /// Whether the client marked this as a retry of an earlier request.
     pub is_retry: bool,
     /// Whether this resumes a stream that broke or was migrated.
     pub is_resumption: bool,
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -45,17 +45,17 @@
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Time to the first token within which an answer earns the full weight.
+    /// Maximum time to the first token for an answer to count at full weight.
     pub first_token_objective: Micros,
     /// Addition to the first-token objective for each 1,000 prompt tokens.
     pub objective_per_1000_prompt_tokens: Micros,
-    /// The client's total timeout over all its tries.
+    /// The client's total timeout, including its retries.
     pub deadline: Micros,
     /// Target mean time between tokens.
     pub inter_token_objective: Micros,
     /// Weight of one request or of one unit of its work.
     pub priority_weight: f64,
-    /// Fraction of the weight that a late answer earns.
+    /// Fraction of the weight at which a late answer counts.
     pub late_weight: f64,
     /// The effect of executing a request more than once.
     pub idempotency: Idempotency,
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -21,7 +21,7 @@
     initial_sends: f64,
 }
 
-/// Sends per ready endpoint of each pool that this replica's arrivals have earned since it started.
+/// Credit accrued from this replica's arrivals since it started, in sends per ready endpoint of each pool.
 #[derive(Clone, Copy, Default)]
 pub(super) struct SlowStartCredit {
     accrued_at: Micros,
@@ -50,7 +50,7 @@
 
 impl Scheduler {
     /// Adds credit for the time since the last call, at the current arrival rate. A later burst of arrivals,
-    /// which may reach all replicas at once, earns no credit for earlier time.
+    /// which may reach all replicas at once, adds no credit for earlier time.
     pub(super) fn accrue_slow_start_credit(&mut self, now: Micros) {
         let passed = (now - self.slow_start_credit.accrued_at).max(0) as f64;
         let prefill = self.arrival_rate_per_endpoint(now, Pool::Prefill) * passed;
@@ -67,8 +67,8 @@
         let rules = &self.settings.rules;
         let budget = endpoint.slow_start;
         let warmup_factor = endpoint.warmup_factor(now - (now - budget.reset_at) / 2, rules);
-        let earned = self.slow_start_credit.of(endpoint.pool()) - budget.credit_at_reset;
-        budget.initial_sends + earned * rules.overload_multiple * warmup_factor * SLOW_START_FRACTION
+        let accrued = self.slow_start_credit.of(endpoint.pool()) - budget.credit_at_reset;
+        budget.initial_sends + accrued * rules.overload_multiple * warmup_factor * SLOW_START_FRACTION
     }
 
     /// Resets an endpoint's budget after a send or a start of the endpoint.
--- a/tests/connection_wait.rs
+++ b/tests/connection_wait.rs
@@ -126,7 +126,7 @@
     // backlog, so the next handshake stays incomplete.
     let mut queued = Vec::new();
     for _ in 0..=BACKLOG {
-        queued.push(TcpStream::connect(addr).await.expect("listener queue has room"));
+        queued.push(TcpStream::connect(addr).await.expect("listener queue is not full"));
     }
     let context = routing_context(&listener);
     let (responder, response) = Responder::new();
